--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -248,7 +248,9 @@
             }
         };
         count(&node.metrics.starts, start_word(&outcome));
-        node.with_scheduler(|scheduler| scheduler.started(worker, task, run, &outcome, now));
+        node.with_scheduler(|scheduler| {
+            scheduler.handle_start_outcome(worker, task, run, &outcome, now)
+        });
     }
     node.wake.notify_one();
 }
--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -26,7 +26,7 @@
     CommandOutcome, RenewCall, RunCall, StartCall, WorkerClient, WorkerReport, WorkerTarget,
     start_word,
 };
-use crate::scheduler::exits::RenewPlan;
+use crate::scheduler::renewals::RenewPlan;
 use crate::scheduler::runs::RunCommand;
 
 /// Time for a start or throttle to be answered.
@@ -391,7 +391,7 @@
         count(&self.node.metrics.starts, start_word(&outcome));
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| {
-            scheduler.started(&target.id, &call.task, call.run, &outcome, now);
+            scheduler.handle_start_outcome(&target.id, &call.task, call.run, &outcome, now);
         });
         outcome != CommandOutcome::Unknown
     }
@@ -400,7 +400,7 @@
         let outcome = self.workers.stop(target, call, STOP_PATIENCE).await;
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| {
-            scheduler.stopped(&target.id, &call.task, call.run, &outcome, now);
+            scheduler.handle_stop_outcome(&target.id, &call.task, call.run, &outcome, now);
         });
         self.node.wake.notify_one();
     }
@@ -413,7 +413,7 @@
             let now = self.node.now();
             let plan = self.node.with_scheduler(|scheduler| scheduler.renew_plan(&id, now));
             match plan {
-                None | Some(RenewPlan::Leave) => break,
+                None | Some(RenewPlan::Stop) => break,
                 Some(RenewPlan::Wait(wait)) => {
                     // Either ends the wait.
                     let _ = timeout(wait, wake.notified()).await;
@@ -429,7 +429,7 @@
                     let outcome = outcome.unwrap_or(CommandOutcome::Unknown);
                     let now = self.node.now();
                     self.node.with_scheduler(|scheduler| {
-                        scheduler.renewed(&id, &call, outcome, sent_ms, now);
+                        scheduler.handle_renewal_outcome(&id, &call, outcome, sent_ms, now);
                     });
                     self.node.wake.notify_one();
                     while late.try_join_next().is_some() {}
@@ -457,7 +457,7 @@
         self.node.metrics.late_answers.inc();
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| {
-            scheduler.answered_late(id, call, report, sent_ms, now);
+            scheduler.handle_late_renewal(id, call, report, sent_ms, now);
         });
         self.node.wake.notify_one();
     }
--- a/src/jobs/notes.rs
+++ b/src/jobs/notes.rs
@@ -5,7 +5,7 @@
 use crate::jobs::metrics::count;
 use crate::jobs::node::JobNode;
 use crate::scheduler::SchedulerNote;
-use crate::scheduler::losses::PROOF_MS;
+use crate::scheduler::losses::CRASH_WINDOW_MS;
 
 /// Writes a decision down.
 pub fn write(node: &JobNode, note: &SchedulerNote) {
@@ -103,7 +103,7 @@
 fn lost_word(at_work_ms: Option<u64>) -> &'static str {
     match at_work_ms {
         None => "start not answered",
-        Some(at_work_ms) if at_work_ms < PROOF_MS => "just begun",
+        Some(at_work_ms) if at_work_ms < CRASH_WINDOW_MS => "just begun",
         Some(_) => "at work",
     }
 }
--- a/src/scheduler/abandoned.rs
+++ b/src/scheduler/abandoned.rs
@@ -95,7 +95,7 @@
     }
 
     /// Moves the VMs of such workers once they are empty: their next life can be acknowledged.
-    pub(crate) fn renew_withheld_lives(&mut self, now: u64) {
+    pub(crate) fn reassign_withheld_vms(&mut self, now: u64) {
         let withheld: Vec<Arc<str>> = self
             .workers
             .iter()
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/absence.rs
@@ -16,7 +16,7 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::dispatch::PlaceQuery;
 use crate::scheduler::job::{LiveRun, TaskRun};
-use crate::scheduler::losses::LONG_PROOF_MS;
+use crate::scheduler::losses::LONG_CRASH_WINDOW_MS;
 use crate::scheduler::worker::PlaceTerms;
 
 /// Time without a run after which a service no longer waits for a calm pool or for a worker of its own, in
@@ -61,7 +61,7 @@
     /// Whether a task of a service has been without a run for so long that it may wait no longer. One that never ran
     /// has nothing to come back from.
     pub(crate) fn is_overdue(&self, is_for_service: bool, now: u64) -> bool {
-        let wait_max_ms = match self.losses.is_last() {
+        let wait_max_ms = match self.losses.has_one_loss_left() {
             true => LAST_WAIT_MS,
             false => SERVICE_WAIT_MAX_MS,
         };
@@ -141,20 +141,20 @@
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         let Some(task) = task else { return Vec::new() };
         let is_overdue = task.is_overdue(spec.is_service, now);
-        let Some(job) = self.suspect(key) else {
+        let Some(job) = self.probation_job(key) else {
             let mut terms = vec![PlaceTerms::Usual];
             terms.extend(is_overdue.then_some(PlaceTerms::Anywhere));
             return terms;
         };
-        let has_room = self.has_probation_room(service, now);
+        let has_room = self.has_probation_capacity(service, now);
         let mut terms = Vec::from_iter(has_room.then_some(PlaceTerms::Alone(job)));
-        if !task.losses.is_last() {
+        if !task.losses.has_one_loss_left() {
             let is_apart = is_overdue || spec.is_service && task.losses.is_on_trial();
             terms.extend(is_apart.then_some(PlaceTerms::Apart(APART_PROOF_MS)));
             terms.extend(is_overdue.then_some(PlaceTerms::Anywhere));
         } else if is_overdue {
-            terms.push(PlaceTerms::Apart(LONG_PROOF_MS));
-            let is_quiet = self.losses.is_quiet(service, QUIET_MS, now);
+            terms.push(PlaceTerms::Apart(LONG_CRASH_WINDOW_MS));
+            let is_quiet = self.losses.is_loss_free(service, QUIET_MS, now);
             terms.extend(is_quiet.then_some(PlaceTerms::Apart(APART_PROOF_MS)));
             let is_late = is_quiet && task.is_absent(APART_WAIT_MAX_MS, now);
             terms.extend(is_late.then_some(PlaceTerms::Anywhere));
--- a/src/scheduler/copies.rs
+++ b/src/scheduler/copies.rs
@@ -3,7 +3,7 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::dispatch::PlaceQuery;
 use crate::scheduler::job::{LiveRun, RunPhase, StepRun};
-use crate::scheduler::judge::{heading_for_ms, usual_ms};
+use crate::scheduler::stragglers::{median_runtime_ms, projected_runtime_ms};
 use crate::scheduler::worker::PlaceTerms;
 
 /// Copies of a task that may run at once.
@@ -81,14 +81,14 @@
         if task.live.iter().any(is_young) {
             return false;
         }
-        let usual = usual_ms(step, u32::try_from(index).ok());
+        let usual = median_runtime_ms(step, u32::try_from(index).ok());
         task.live.iter().all(|live| {
             let is_silent = self.is_silent(&live.worker);
             let elapsed = now.saturating_sub(live.since_ms);
             let is_late = usual.is_some_and(|usual| {
                 live.phase == RunPhase::Running
                     && elapsed > usual * 3 / 2 + COPY_SLACK_MS
-                    && heading_for_ms(live) > elapsed + usual
+                    && projected_runtime_ms(live) > elapsed + usual
             });
             is_silent || is_late
         })
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -159,7 +159,7 @@
                                 vms: sizes.get(&queue.service).copied().unwrap_or_default(),
                                 is_for_service: specs[position].is_service,
                             };
-                            !self.losses.holds_back(&key, task, &pool, now)
+                            !self.losses.has_to_wait(&key, task, &pool, now)
                         })
                         .map(|(index, _)| job.key(*occurrence, position, index))
                         .collect();
@@ -226,7 +226,7 @@
                 && let Some(promised) = self.make_room(&step.service, &query, step.rank, now)
             {
                 // Beside a suspect nothing else may start, so no other can count on room there.
-                if self.suspect(key).is_some() && !last.is_shared() {
+                if self.probation_job(key).is_some() && !last.is_shared() {
                     return false;
                 }
                 waiting += 1;
@@ -240,7 +240,7 @@
                 found = self.find_on_terms(&step.service, &query, &terms, waited, now);
             }
             let Some((worker, terms)) = found else {
-                if self.suspect(key).is_some() {
+                if self.probation_job(key).is_some() {
                     continue;
                 }
                 return false;
@@ -266,7 +266,7 @@
     /// Whether a task would rather wait than start on a VM that is not steady.
     fn is_choosy(&self, key: &TaskKey, spec: &StepSpec, now: u64) -> bool {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
-        task.is_some_and(|task| self.losses.is_choosy(task, spec.is_service, now))
+        task.is_some_and(|task| self.losses.may_keep_waiting(task, spec.is_service, now))
     }
 
     /// Whether the cap of a task's organisation leaves room for so much more.
@@ -317,8 +317,8 @@
         let is_unsteady = |(_, worker): &(&Arc<str>, &WorkerRun)| {
             let address = worker.entry.address;
             match is_on_trial {
-                true => self.losses.is_failing(address, now),
-                false => self.losses.is_unsteady(address, now),
+                true => self.losses.has_unexplained_loss(address, now),
+                false => self.losses.has_recent_loss(address, now),
             }
         };
         workers.filter(is_unsteady).map(|(id, _)| id.clone()).collect()
@@ -465,7 +465,7 @@
         let fullest = 1_000 - load.min(1_000);
         if query.terms.is_guarded() {
             // What is lost with it, services first: each has a budget for being away.
-            let is_unsteady = u64::from(self.losses.is_unsteady(worker.entry.address, now));
+            let is_unsteady = u64::from(self.losses.has_recent_loss(worker.entry.address, now));
             if query.terms.is_shared() {
                 let (losses, suspects) = worker.risk();
                 let suspects = u64::try_from(suspects).unwrap_or(u64::MAX);
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -11,10 +11,10 @@
 use crate::jobs::ports::{VmCommand, VmOutcome};
 use crate::jobs::site::{MaintenanceWave, VmEntry, VmState, life_name};
 use crate::scheduler::demand::ArrivalRate;
-use crate::scheduler::losses::LifeEnd;
+use crate::scheduler::incarnations::IncarnationTable;
+use crate::scheduler::losses::IncarnationEnd;
 use crate::scheduler::maintenance::WaveRun;
 use crate::scheduler::needs::{NeedKind, PoolNeed, give, is_scarce};
-use crate::scheduler::rebirth::LifeBook;
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerNote};
 
 /// Time between two looks at the VM list while something is under way, in milliseconds.
@@ -126,7 +126,7 @@
 
 impl FleetState {
     /// Takes a list that was asked for at `asked_ms`; the workers that it names are those of `lives`.
-    pub(crate) fn take_list(&mut self, vms: Vec<VmEntry>, lives: &LifeBook, asked_ms: u64) {
+    pub(crate) fn take_list(&mut self, vms: Vec<VmEntry>, lives: &IncarnationTable, asked_ms: u64) {
         self.by_worker.clear();
         self.vms.clear();
         for mut vm in vms {
@@ -204,7 +204,7 @@
             let needs = self.pool_needs(now);
             self.note_pools(&needs, now);
             self.plan_waves(is_scarce(&needs), now);
-            self.renew_withheld_lives(now);
+            self.reassign_withheld_vms(now);
             self.plan_pools(needs, now);
             self.evict_services(now);
         }
@@ -263,7 +263,7 @@
         if intent.is_for_pool(&vm.pool) {
             intent.phase = IntentPhase::Accepted;
             let worker = intent.worker.clone();
-            self.worker_over(&worker, LifeEnd::Moved, now);
+            self.end_incarnation(&worker, IncarnationEnd::Moved, now);
             return;
         }
         let is_other_life = !vm.worker.is_empty() && vm.worker != intent.worker;
@@ -348,7 +348,7 @@
                 if let VmCommand::Maintain { wave, .. } = command {
                     self.maintained(*wave, &name);
                 }
-                self.worker_over(&worker, LifeEnd::Commanded, now);
+                self.end_incarnation(&worker, IncarnationEnd::Commanded, now);
             }
             VmOutcome::Unknown => {
                 // It may be carried out any time and end what runs there by then; the VM stays
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -20,7 +20,7 @@
             return true;
         }
         let Some(permitted) = self.permitted(step, now) else { return true };
-        let suspect = step.waiting.iter().find(|key| self.suspect(key).is_some());
+        let suspect = step.waiting.iter().find(|key| self.probation_job(key).is_some());
         let terms = self.place_terms(suspect.unwrap_or(&step.waiting[0]), &step.service, spec, now);
         if terms.is_empty() {
             return true;
@@ -90,8 +90,8 @@
                 })
                 .min_by_key(|(id, room)| {
                     let worker = &self.workers[**id];
-                    let is_unsteady =
-                        terms.is_guarded() && self.losses.is_unsteady(worker.entry.address, now);
+                    let is_unsteady = terms.is_guarded()
+                        && self.losses.has_recent_loss(worker.entry.address, now);
                     let share = room.share_of(&worker.entry.capacity);
                     (!is_near(worker, spec), is_unsteady, share)
                 })
--- a/src/scheduler/rebirth.rs
+++ b/src/scheduler/incarnations.rs
@@ -21,13 +21,13 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::site::{WorkerEntry, life_id, life_name};
 use crate::scheduler::job::{LiveRun, RunPhase};
-use crate::scheduler::losses::LifeEnd;
+use crate::scheduler::losses::IncarnationEnd;
 use crate::scheduler::worker::{BookedRun, WorkerRun};
 use crate::scheduler::{FENCES_PER_TERM, Scheduler, SchedulerAction, SchedulerNote};
 
 /// The newest life that is known of each worker, and those before it.
 #[derive(Debug, Default)]
-pub(crate) struct LifeBook {
+pub(crate) struct IncarnationTable {
     newest: BTreeMap<Arc<str>, Arc<str>>,
     over: BTreeSet<Arc<str>>,
     /// What is added to the leader's fencing token in calls to a worker, by its name. It stays when the worker is
@@ -35,7 +35,7 @@
     fence_steps: BTreeMap<Arc<str>, u64>,
 }
 
-impl LifeBook {
+impl IncarnationTable {
     /// The newest life of a worker; its name where none is known.
     pub fn newest<'a>(&'a self, name: &'a Arc<str>) -> &'a Arc<str> {
         self.newest.get(name).unwrap_or(name)
@@ -81,7 +81,7 @@
 impl Scheduler {
     /// Takes note of a life that a worker's entry tells of; false if a later one is known, so that the entry is
     /// out of date.
-    pub(crate) fn begin_life(&mut self, entry: &WorkerEntry, now: u64) -> bool {
+    pub(crate) fn begin_incarnation(&mut self, entry: &WorkerEntry, now: u64) -> bool {
         if self.lives.is_over(&entry.id) {
             return false;
         }
@@ -103,7 +103,7 @@
         }
         if !self.lives.is_over(&answering) {
             let entry = WorkerEntry { id: answering, ..worker.entry.clone() };
-            self.begin_life(&entry, now);
+            self.begin_incarnation(&entry, now);
         }
         false
     }
@@ -132,7 +132,7 @@
         let id = entry.id.clone();
         let Some(old) = self.workers.remove(before) else { return };
         let runs = old.runs.len();
-        let change = LifeEnd::Reborn.word();
+        let change = IncarnationEnd::Restarted.description();
         self.note(SchedulerNote::Worker { worker: before.clone(), change, runs });
         self.abandoned.forget_worker(before);
         self.actions.push(SchedulerAction::Forget(before.clone()));
--- a/src/scheduler/blame.rs
+++ b/src/scheduler/loss_attribution.rs
@@ -23,7 +23,7 @@
         let mut cases = Vec::with_capacity(lost.len());
         for worker in lost {
             let exposed = self.exposed_runs(worker, now);
-            let is_steady = !self.losses.is_unsteady(worker.entry.address, now);
+            let is_steady = !self.losses.has_recent_loss(worker.entry.address, now);
             let named = if is_steady { self.named_task(&exposed) } else { None };
             cases.push((worker, exposed, named));
         }
@@ -83,7 +83,7 @@
     }
 
     /// Gives the verdicts that have waited for the news of other workers.
-    pub(crate) fn give_verdicts(&mut self, now: u64) {
+    pub(crate) fn give_up_due_jobs(&mut self, now: u64) {
         while let Some(verdict) = self.losses.due_verdict(now) {
             match verdict.cause {
                 VerdictCause::Named => {
@@ -158,7 +158,7 @@
             }
             task.losses.add(run.is_at_start());
             let (losses, is_over) = (task.losses, task.losses.is_exhausted());
-            self.losses.note_count(run.task.job, &losses);
+            self.losses.track_losses(run.task.job, &losses);
             self.commits.mark(run.task.job);
             if losses.is_on_trial() && !is_over {
                 self.note(SchedulerNote::OnTrial { task: run.task, lost: losses.all });
@@ -216,12 +216,12 @@
     }
 
     /// Job of a task that must be tried on probation.
-    pub(crate) fn suspect(&self, key: &TaskKey) -> Option<JobId> {
+    pub(crate) fn probation_job(&self, key: &TaskKey) -> Option<JobId> {
         (self.loss_count(key).probation_ms() > 0).then_some(key.job)
     }
 
     /// Whether one more worker of a pool may be put at risk by a suspect: half of them stay for the rest.
-    pub(crate) fn has_probation_room(&self, service: &Arc<str>, now: u64) -> bool {
+    pub(crate) fn has_probation_capacity(&self, service: &Arc<str>, now: u64) -> bool {
         let (mut all, mut at_risk) = (0, 0);
         for worker in self.workers.values().filter(|worker| worker.entry.service == *service) {
             all += usize::from(worker.is_open(now));
--- a/src/scheduler/losses.rs
+++ b/src/scheduler/losses.rs
@@ -37,10 +37,10 @@
 
 /// Time at work, by the worker's clock, after which a start is not what ends its worker, in milliseconds. A longer time
 /// suspects more tasks that merely were there, and gives other failures longer to fall into a probation.
-pub const PROOF_MS: u64 = 30;
+pub const CRASH_WINDOW_MS: u64 = 30;
 /// The same for a task that has lost several workers, and for services at any time, in milliseconds: a
 /// service lasts for weeks, and outlives many workers.
-pub const LONG_PROOF_MS: u64 = 5_000;
+pub const LONG_CRASH_WINDOW_MS: u64 = 5_000;
 /// Workers lost at its start from which a task is given up: one that it shared with others, and two on
 /// probation. Two in all would be too few, as failures of other causes follow each other within a second.
 pub const LOSSES_AT_START_MAX: u32 = 3;
@@ -83,9 +83,9 @@
     /// not on probation.
     pub fn probation_ms(&self) -> u64 {
         match self.at_start {
-            _ if self.is_on_trial() => LONG_PROOF_MS,
+            _ if self.is_on_trial() => LONG_CRASH_WINDOW_MS,
             0 => 0,
-            _ => PROOF_MS,
+            _ => CRASH_WINDOW_MS,
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Whether the task is given up with its next loss.
-    pub(crate) fn is_last(&self) -> bool {
+    pub(crate) fn has_one_loss_left(&self) -> bool {
         self.all + 1 >= LOSSES_MAX
     }
 
@@ -129,11 +129,11 @@
 
 /// How it is known that a worker's life is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeEnd {
+pub enum IncarnationEnd {
     /// Another life answers at its address.
-    OtherLife,
+    OtherIncarnation,
     /// It has begun anew under its name.
-    Reborn,
+    Restarted,
     /// Its VM shows another life, or none.
     NotOnVm,
     /// Its VM is in another pool.
@@ -142,21 +142,24 @@
     Commanded,
 }
 
-impl LifeEnd {
+impl IncarnationEnd {
     /// The words for the log.
-    pub fn word(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            LifeEnd::OtherLife => "another life answers",
-            LifeEnd::Reborn => "it has begun anew",
-            LifeEnd::NotOnVm => "its VM no longer runs it",
-            LifeEnd::Moved => "its VM has moved",
-            LifeEnd::Commanded => "its VM was commanded",
+            IncarnationEnd::OtherIncarnation => "another life answers",
+            IncarnationEnd::Restarted => "it has begun anew",
+            IncarnationEnd::NotOnVm => "its VM no longer runs it",
+            IncarnationEnd::Moved => "its VM has moved",
+            IncarnationEnd::Commanded => "its VM was commanded",
         }
     }
 
     /// Whether nobody wanted it.
     pub fn is_loss(self) -> bool {
-        matches!(self, LifeEnd::OtherLife | LifeEnd::Reborn | LifeEnd::NotOnVm)
+        matches!(
+            self,
+            IncarnationEnd::OtherIncarnation | IncarnationEnd::Restarted | IncarnationEnd::NotOnVm
+        )
     }
 }
 
@@ -177,12 +180,12 @@
 impl ExposedRun {
     /// Whether its start may have been the cause.
     pub fn is_starting(&self) -> bool {
-        !self.booked.has_worked(PROOF_MS) || self.booked.is_on_probation()
+        !self.booked.has_worked(CRASH_WINDOW_MS) || self.booked.is_on_probation()
     }
 
     /// Whether it was just starting, as far as is known.
     pub fn is_at_start(&self) -> bool {
-        !self.booked.has_worked(PROOF_MS) && !self.is_unknown
+        !self.booked.has_worked(CRASH_WINDOW_MS) && !self.is_unknown
     }
 
     /// Whether it may have crashed its worker by its start.
@@ -192,7 +195,7 @@
 
     /// Whether its worker's loss says nothing of it.
     pub fn is_clear(&self) -> bool {
-        self.booked.is_service && self.booked.has_worked(LONG_PROOF_MS)
+        self.booked.is_service && self.booked.has_worked(LONG_CRASH_WINDOW_MS)
     }
 }
 
@@ -286,7 +289,7 @@
 
 /// Workers that were lost lately, and what is still to be decided about them.
 #[derive(Debug, Default)]
-pub(crate) struct LossWatch {
+pub(crate) struct LossTracker {
     recent: VecDeque<RecentLoss>,
     verdicts: VecDeque<PendingVerdict>,
     /// VMs whose workers were lost under earlier leaders, as far as the log tells.
@@ -299,10 +302,10 @@
     opened_ms: u64,
 }
 
-impl LossWatch {
+impl LossTracker {
     /// A watch that begins now.
-    pub fn open(now: u64) -> LossWatch {
-        LossWatch { opened_ms: now, ..LossWatch::default() }
+    pub fn open(now: u64) -> LossTracker {
+        LossTracker { opened_ms: now, ..LossTracker::default() }
     }
 
     /// When this leader began, in milliseconds.
@@ -371,15 +374,21 @@
     }
 
     /// Whether a task waits, by its losses, until its pool of so many VMs is calm, and was seen so without the task.
-    pub fn holds_back(&self, key: &TaskKey, task: &TaskRun, pool: &PoolView<'_>, now: u64) -> bool {
-        let is_last = pool.is_for_service && task.losses.is_last();
-        let is_watched = is_last || now < task.waiting_since_ms + WATCH_MS;
-        self.is_choosy(task, pool.is_for_service, now)
+    pub fn has_to_wait(
+        &self,
+        key: &TaskKey,
+        task: &TaskRun,
+        pool: &PoolView<'_>,
+        now: u64,
+    ) -> bool {
+        let has_one_loss_left = pool.is_for_service && task.losses.has_one_loss_left();
+        let is_watched = has_one_loss_left || now < task.waiting_since_ms + WATCH_MS;
+        self.may_keep_waiting(task, pool.is_for_service, now)
             && (is_watched || !self.is_calm(pool, key, task.losses.calm_life_ms(), now))
     }
 
     /// Whether a task on trial still waits for the time and the VM that it asks for.
-    pub fn is_choosy(&self, task: &TaskRun, is_for_service: bool, now: u64) -> bool {
+    pub fn may_keep_waiting(&self, task: &TaskRun, is_for_service: bool, now: u64) -> bool {
         let since_ms = task.waiting_since_ms.max(self.opened_ms);
         task.losses.is_on_trial()
             && now < since_ms + CALM_WAIT_MAX_MS
@@ -397,13 +406,13 @@
     }
 
     /// Whether no worker of a pool was lost for so long, by whatever cause; what was lost under earlier leaders aside.
-    pub fn is_quiet(&self, service: &str, ms: u64, now: u64) -> bool {
+    pub fn is_loss_free(&self, service: &str, ms: u64, now: u64) -> bool {
         let mut lost = self.recent.iter().filter(|loss| &*loss.entry.service == service);
         !lost.any(|loss| now < loss.at_ms + ms)
     }
 
     /// A job's task has lost so many workers.
-    pub fn note_count(&mut self, job: JobId, losses: &LossCount) {
+    pub fn track_losses(&mut self, job: JobId, losses: &LossCount) {
         if losses.is_recorded() {
             self.recorded.insert(job);
         }
@@ -440,7 +449,7 @@
             counted: counted.collect(),
             had_suspect: exposed.iter().any(|run| run.booked.is_on_probation()),
             suspected: suspected.collect(),
-            was_unsteady: self.is_unsteady(entry.address, now),
+            was_unsteady: self.has_recent_loss(entry.address, now),
         };
         self.recent.push_back(loss);
         self.suspected = self.recent.iter().flat_map(|loss| loss.suspected.clone()).collect();
@@ -468,7 +477,7 @@
     }
 
     /// Whether a worker was lost at this address not long ago, of which no task is known to be the cause.
-    pub fn is_unsteady(&self, address: SocketAddr, now: u64) -> bool {
+    pub fn has_recent_loss(&self, address: SocketAddr, now: u64) -> bool {
         let is_recent = |loss: &&RecentLoss| now <= loss.at_ms + UNSTEADY_MS;
         let is_inherited =
             |loss: &InheritedLoss| loss.vm.address == address && now <= loss.at_ms + UNSTEADY_MS;
@@ -477,7 +486,7 @@
     }
 
     /// The same of a loss that no task is likely to have caused: its VM may go down again by itself.
-    pub fn is_failing(&self, address: SocketAddr, now: u64) -> bool {
+    pub fn has_unexplained_loss(&self, address: SocketAddr, now: u64) -> bool {
         let is_recent = |at_ms: u64| now <= at_ms + UNSTEADY_MS;
         let own = self.recent.iter().filter(|loss| is_recent(loss.at_ms) && !loss.is_explained());
         let mut inherited = self.inherited.iter().filter(|loss| is_recent(loss.at_ms));
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -14,28 +14,28 @@
 pub(crate) mod abandoned;
 pub mod absence;
 pub mod action;
-mod blame;
 pub mod commit;
 mod copies;
 pub mod demand;
 pub mod dispatch;
 mod displace;
-pub mod exits;
 pub mod fleet;
 mod gang;
+mod incarnations;
 pub mod job;
-pub mod judge;
+mod loss_attribution;
 pub mod losses;
 pub mod maintenance;
 pub mod needs;
 mod organisation;
 pub mod overview;
 pub mod rank;
-mod rebirth;
+pub mod renewals;
 mod room;
 pub mod runs;
 pub mod runtime;
 mod share;
+pub mod stragglers;
 pub mod throttle;
 mod tombstones;
 mod waits;
@@ -58,13 +58,13 @@
 use crate::scheduler::commit::CommitQueue;
 use crate::scheduler::displace::RoomPromises;
 use crate::scheduler::fleet::FleetState;
+use crate::scheduler::incarnations::IncarnationTable;
 use crate::scheduler::job::JobRun;
-use crate::scheduler::losses::LossWatch;
+use crate::scheduler::losses::LossTracker;
 use crate::scheduler::organisation::OrganisationLedger;
-use crate::scheduler::rebirth::LifeBook;
 use crate::scheduler::runtime::RuntimeModel;
 use crate::scheduler::share::ShareBook;
-use crate::scheduler::tombstones::TombstoneBook;
+use crate::scheduler::tombstones::TombstoneTable;
 use crate::scheduler::waits::WaitLog;
 use crate::scheduler::worker::WorkerRun;
 
@@ -149,14 +149,14 @@
     runtimes: HashMap<Arc<str>, RuntimeModel>,
     /// Jobs that are over, and since when this process knows that, in milliseconds: a wall clock may be set forward.
     finished: BTreeMap<JobId, u64>,
-    tombstones: TombstoneBook,
+    tombstones: TombstoneTable,
     workers: BTreeMap<Arc<str>, WorkerRun>,
     /// Ends of the leases of workers that were dropped as nothing runs there, in milliseconds: they may be listed again.
     dropped_bounds: BTreeMap<Arc<str>, u64>,
     attention: BTreeSet<(TaskKey, u32)>,
     abandoned: AbandonedRuns,
-    losses: LossWatch,
-    lives: LifeBook,
+    losses: LossTracker,
+    lives: IncarnationTable,
     waits: WaitLog,
     organisations: OrganisationLedger,
     shares: ShareBook,
@@ -207,13 +207,13 @@
             scheduled: BTreeSet::new(),
             runtimes: HashMap::new(),
             finished: BTreeMap::new(),
-            tombstones: TombstoneBook::default(),
+            tombstones: TombstoneTable::default(),
             workers: BTreeMap::new(),
             dropped_bounds: BTreeMap::new(),
             attention: BTreeSet::new(),
             abandoned: AbandonedRuns::default(),
-            losses: LossWatch::open(now),
-            lives: LifeBook::default(),
+            losses: LossTracker::open(now),
+            lives: IncarnationTable::default(),
             waits: WaitLog::open(now),
             organisations: OrganisationLedger::default(),
             shares: ShareBook::default(),
@@ -270,7 +270,7 @@
         run.restore_seen(job, now, wall_ms);
         let exhausted = run.exhausted_task();
         if !run.state.is_final() {
-            run.open_losses().for_each(|losses| self.losses.note_count(id, losses));
+            run.open_losses().for_each(|losses| self.losses.track_losses(id, losses));
         }
         self.jobs.insert(id, run);
         for key in live {
@@ -481,7 +481,7 @@
     }
 
     fn cancel(&mut self, id: JobId, source: RecordSource, now: u64) {
-        self.note_cancelled(id, source, now);
+        self.log_cancellation(id, source, now);
         let Some(job) = self.jobs.get_mut(&id) else {
             // Another entry has stored the job, and we have yet to read it: the cancellation came sooner, by the
             // relay. Forgotten, it would never be heard of again, and the job would run.
@@ -504,7 +504,7 @@
 
     /// A worker reports itself, for the first time or with something new.
     pub fn worker_seen(&mut self, entry: WorkerEntry, now: u64) {
-        if !self.begin_life(&entry, now) {
+        if !self.begin_incarnation(&entry, now) {
             return;
         }
         let id = entry.id.clone();
@@ -575,7 +575,7 @@
     /// The VM list, as it was when it was asked for at `asked_ms`.
     pub fn take_vms(&mut self, vms: Vec<VmEntry>, asked_ms: u64, now: u64) {
         self.fleet.take_list(vms, &self.lives, asked_ms);
-        self.bury_workers(asked_ms, now);
+        self.end_vanished_workers(asked_ms, now);
         self.needs_dispatch = true;
     }
 
@@ -602,15 +602,15 @@
         }
         self.wall_ms = wall_ms;
         self.begin_due(wall_ms);
-        self.expire_silent(now);
-        self.give_verdicts(now);
+        self.expire_silent_workers(now);
+        self.give_up_due_jobs(now);
         if now >= self.next_sweep_ms {
-            self.next_sweep_ms = now + runs::SWEEP_MS;
+            self.next_sweep_ms = now + runs::SWEEP_INTERVAL_MS;
             if !self.is_behind(now) {
-                self.judge_runs(now);
+                self.move_stragglers(now);
             }
             self.stop_broken_gangs(now);
-            self.drop_over_jobs(now);
+            self.drop_finished_jobs(now);
             self.tell_waits(now);
             self.dropped_bounds.retain(|_, bound| now < *bound);
             self.looks_for_copies = true;
--- a/src/scheduler/rank.rs
+++ b/src/scheduler/rank.rs
@@ -8,8 +8,8 @@
 use crate::jobs::model::{JobState, StepSpec};
 use crate::jobs::site::QueueSpec;
 use crate::scheduler::job::{JobRun, OccurrenceRun, StepRun};
-use crate::scheduler::judge::usual_ms;
 use crate::scheduler::runtime::RuntimeModel;
+use crate::scheduler::stragglers::median_runtime_ms;
 
 /// Share of the run time left, in percent, that must fit before the objective for a job to count as
 /// one that can meet it: what is expected is off either way.
@@ -58,7 +58,7 @@
 /// Time that the tasks of a step take, in milliseconds: as those that are done or well under way show,
 /// else as expected of its queue.
 fn step_ms(spec: &StepSpec, run: Option<&StepRun>, model: &RuntimeModel) -> u64 {
-    let shown = run.and_then(|run| usual_ms(run, None));
+    let shown = run.and_then(|run| median_runtime_ms(run, None));
     shown.unwrap_or_else(|| model.expect(spec.estimate_ms))
 }
 
--- a/src/scheduler/exits.rs
+++ b/src/scheduler/renewals.rs
@@ -10,14 +10,14 @@
     WorkerTarget,
 };
 use crate::scheduler::job::{LiveRun, RunPhase};
-use crate::scheduler::losses::{LifeEnd, PROOF_MS};
+use crate::scheduler::losses::{CRASH_WINDOW_MS, IncarnationEnd};
 use crate::scheduler::{LATE_AGE_MS, Scheduler, SchedulerNote};
 
 /// Longest wait for an exit in one renewal. Also the age at which a worker's silence is noticed and
 /// its gauges are read again; shorter waits cost a call each.
 const RENEW_WAIT: Duration = Duration::from_millis(500);
 /// The same while a suspect is on probation there: its report is waited for before anything else starts.
-const PROBATION_WAIT: Duration = Duration::from_millis(PROOF_MS);
+const PROBATION_WAIT: Duration = Duration::from_millis(CRASH_WINDOW_MS);
 /// Time for an answer beyond the wait that was asked for.
 const RENEW_PATIENCE: Duration = Duration::from_millis(300);
 /// The same while answers wait in a line of ours: longest, and how much longer for each part of it.
@@ -57,23 +57,23 @@
     /// Look again after this time, or when woken.
     Wait(Duration),
     /// Its life is over or it is not listed any more.
-    Leave,
+    Stop,
 }
 
 impl Scheduler {
     /// What to do next about a worker's leases.
     pub fn renew_plan(&mut self, id: &Arc<str>, now: u64) -> RenewPlan {
         if self.is_deposed {
-            return RenewPlan::Leave;
+            return RenewPlan::Stop;
         }
         let (fence, lease_ms, is_confirmed) =
             (self.fence_of(id), self.lease_ms(), self.is_confirmed(now));
         let (renew_wait, patience) = (self.renew_wait(), self.renew_patience());
         let may_acknowledge = self.may_acknowledge(id);
         let is_wanted = self.has_wanted_run(id);
-        let Some(worker) = self.workers.get_mut(id) else { return RenewPlan::Leave };
+        let Some(worker) = self.workers.get_mut(id) else { return RenewPlan::Stop };
         if !worker.is_listed && worker.runs.is_empty() {
-            return RenewPlan::Leave;
+            return RenewPlan::Stop;
         }
         if now < worker.renew_ms {
             return RenewPlan::Wait(Duration::from_millis(worker.renew_ms - now));
@@ -137,7 +137,7 @@
     }
 
     /// The answer to a renewal that was sent at `sent_ms` and given up has come.
-    pub fn answered_late(
+    pub fn handle_late_renewal(
         &mut self,
         id: &Arc<str>,
         call: &RenewCall,
@@ -154,7 +154,7 @@
     }
 
     /// A renewal that was sent at `sent_ms` was answered, or not.
-    pub fn renewed(
+    pub fn handle_renewal_outcome(
         &mut self,
         id: &Arc<str>,
         call: &RenewCall,
@@ -166,7 +166,7 @@
             CommandOutcome::Done(report) => self.take_report(id, call, report, sent_ms, now),
             CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.outranked(id),
             CommandOutcome::Refused(CommandRefusal::WrongLife, _) => {
-                self.worker_over(id, LifeEnd::OtherLife, now);
+                self.end_incarnation(id, IncarnationEnd::OtherIncarnation, now);
             }
             CommandOutcome::Refused(..) => {
                 let Some(worker) = self.workers.get_mut(id) else { return };
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -9,12 +9,12 @@
 };
 use crate::jobs::site::{VmState, life_name};
 use crate::scheduler::job::{LiveRun, RunPhase, TaskRun};
-use crate::scheduler::losses::LifeEnd;
+use crate::scheduler::losses::IncarnationEnd;
 use crate::scheduler::worker::{BookedRun, WorkSpan, WorkerRun};
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerNote};
 
 /// Time between two looks at how runs get on, in milliseconds.
-pub const SWEEP_MS: u64 = 100;
+pub const SWEEP_INTERVAL_MS: u64 = 100;
 /// Time for a start or stop to be answered before it is sent again, in milliseconds; repeats are
 /// idempotent, so this only bounds the traffic to a worker that is slow to answer.
 const COMMAND_RETRY_MS: u64 = 600;
@@ -268,7 +268,7 @@
     }
 
     /// A start was answered, or not.
-    pub fn started(
+    pub fn handle_start_outcome(
         &mut self,
         worker: &Arc<str>,
         key: &TaskKey,
@@ -284,7 +284,7 @@
                 // takes a run once, however often it is told.
                 if let Some(live) = self.live_mut(key, run) {
                     live.is_in_doubt = true;
-                    live.retry_ms = live.retry_ms.min(now + SWEEP_MS);
+                    live.retry_ms = live.retry_ms.min(now + SWEEP_INTERVAL_MS);
                 }
                 self.actions.push(SchedulerAction::Wake(worker.clone()));
             }
@@ -346,7 +346,7 @@
                 return;
             }
             CommandRefusal::WrongLife => {
-                self.worker_over(id, LifeEnd::OtherLife, now);
+                self.end_incarnation(id, IncarnationEnd::OtherIncarnation, now);
                 return;
             }
             CommandRefusal::OldRun => {
@@ -402,7 +402,7 @@
     }
 
     /// A stop was answered, or not. The run is over only when the worker lists its end.
-    pub fn stopped(
+    pub fn handle_stop_outcome(
         &mut self,
         worker: &Arc<str>,
         key: &TaskKey,
@@ -423,7 +423,7 @@
             }
             CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.outranked(worker),
             CommandOutcome::Refused(CommandRefusal::WrongLife, _) => {
-                self.worker_over(worker, LifeEnd::OtherLife, now);
+                self.end_incarnation(worker, IncarnationEnd::OtherIncarnation, now);
             }
             CommandOutcome::Refused(..) | CommandOutcome::Unknown => {}
         }
@@ -444,18 +444,22 @@
     }
 
     /// The life of a worker is over: nothing runs there any more.
-    pub(crate) fn worker_over(&mut self, id: &Arc<str>, end: LifeEnd, now: u64) {
-        self.workers_over(std::slice::from_ref(id), end, now);
+    pub(crate) fn end_incarnation(&mut self, id: &Arc<str>, end: IncarnationEnd, now: u64) {
+        self.end_incarnations(std::slice::from_ref(id), end, now);
     }
 
     /// The lives of workers are over, as is learned at one time.
-    fn workers_over(&mut self, ids: &[Arc<str>], end: LifeEnd, now: u64) {
+    fn end_incarnations(&mut self, ids: &[Arc<str>], end: IncarnationEnd, now: u64) {
         let mut gone = Vec::with_capacity(ids.len());
         for id in ids {
             self.abandoned.forget_worker(id);
             let Some(worker) = self.workers.remove(id) else { continue };
             let runs = worker.runs.len();
-            self.note(SchedulerNote::Worker { worker: id.clone(), change: end.word(), runs });
+            self.note(SchedulerNote::Worker {
+                worker: id.clone(),
+                change: end.description(),
+                runs,
+            });
             gone.push(worker);
         }
         if end.is_loss() {
@@ -492,7 +496,7 @@
     ///
     /// Not while we are behind ourselves: the ends of the runs may be on their way to us, and a task that
     /// is done would start again.
-    pub(crate) fn expire_silent(&mut self, now: u64) {
+    pub(crate) fn expire_silent_workers(&mut self, now: u64) {
         if self.is_behind(now) {
             return;
         }
@@ -522,7 +526,7 @@
     }
 
     /// Buries workers that don't answer and whose VM no longer runs them.
-    pub(crate) fn bury_workers(&mut self, asked_ms: u64, now: u64) {
+    pub(crate) fn end_vanished_workers(&mut self, asked_ms: u64, now: u64) {
         let Some(lives) = self.fleet.lives() else { return };
         let over: Vec<Arc<str>> = self
             .workers
@@ -532,7 +536,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         if !over.is_empty() {
-            self.workers_over(&over, LifeEnd::NotOnVm, now);
+            self.end_incarnations(&over, IncarnationEnd::NotOnVm, now);
         }
     }
 
--- a/src/scheduler/judge.rs
+++ b/src/scheduler/stragglers.rs
@@ -21,7 +21,7 @@
 
 impl Scheduler {
     /// Looks for runs that stall or crawl, and takes them elsewhere.
-    pub(crate) fn judge_runs(&mut self, now: u64) {
+    pub(crate) fn move_stragglers(&mut self, now: u64) {
         let mut stalled = Vec::new();
         for worker in self.workers.values() {
             if worker.silent_since_ms.is_some() || worker.entry.is_draining {
@@ -69,25 +69,25 @@
     /// of the same kind, while declared run times tell little. One without siblings is left alone.
     fn is_far_slower(&self, job: &JobRun, key: &TaskKey, live: &LiveRun, now: u64) -> bool {
         let Some(step) = job.step(key) else { return false };
-        let Some(usual) = usual_ms(step, Some(key.index)) else { return false };
+        let Some(usual) = median_runtime_ms(step, Some(key.index)) else { return false };
         if live.percent == 0 {
             return now.saturating_sub(live.begun_ms) > usual * SLOW_FACTOR;
         }
-        let heading_for = heading_for_ms(live);
+        let heading_for = projected_runtime_ms(live);
         let left = heading_for.saturating_sub(now.saturating_sub(live.begun_ms));
         heading_for > usual * SLOW_FACTOR && left > usual + MOVE_COST_MS
     }
 }
 
 /// Run time that a run is heading for at its present pace, in milliseconds.
-pub(crate) fn heading_for_ms(live: &LiveRun) -> u64 {
+pub(crate) fn projected_runtime_ms(live: &LiveRun) -> u64 {
     let elapsed = live.progress_ms.saturating_sub(live.begun_ms);
     elapsed * 100 / u64::from(live.percent.clamp(1, 100))
 }
 
 /// Median run time of the tasks of a step, done or well under way, without the one at `index`; nothing
 /// for too few.
-pub(crate) fn usual_ms(step: &StepRun, index: Option<u32>) -> Option<u64> {
+pub(crate) fn median_runtime_ms(step: &StepRun, index: Option<u32>) -> Option<u64> {
     let mut times: Vec<u64> = Vec::new();
     for (position, task) in step.tasks.iter().enumerate() {
         if index.is_some_and(|index| u32::try_from(position) == Ok(index)) {
@@ -99,7 +99,7 @@
         }
         let is_telling =
             |live: &&LiveRun| live.phase == RunPhase::Running && live.percent >= TELLING_PERCENT;
-        times.extend(task.live.iter().find(is_telling).map(heading_for_ms));
+        times.extend(task.live.iter().find(is_telling).map(projected_runtime_ms));
     }
     times.sort_unstable();
     (times.len() >= SIBLINGS_MIN).then(|| times[times.len() / 2])
--- a/src/scheduler/tombstones.rs
+++ b/src/scheduler/tombstones.rs
@@ -17,11 +17,11 @@
 
 /// Such cancellations, and when each was last heard of, in milliseconds.
 #[derive(Debug, Default)]
-pub(crate) struct TombstoneBook {
+pub(crate) struct TombstoneTable {
     marks: BTreeMap<(JobId, CallerMark), u64>,
 }
 
-impl TombstoneBook {
+impl TombstoneTable {
     /// Takes one in.
     pub fn insert(&mut self, job: JobId, mark: CallerMark, now: u64) {
         self.marks.insert((job, mark), now);
@@ -56,12 +56,12 @@
                 self.cancel(id, source, now);
             }
             Some(_) => {}
-            None => self.note_cancelled(id, source, now),
+            None => self.log_cancellation(id, source, now),
         }
     }
 
     /// Tells that a cancellation is taken in, before anything is done about it.
-    pub(super) fn note_cancelled(&mut self, id: JobId, source: RecordSource, now: u64) {
+    pub(super) fn log_cancellation(&mut self, id: JobId, source: RecordSource, now: u64) {
         let found = match self.jobs.get(&id) {
             Some(job) if !job.state.is_final() => "open",
             None if !self.finished.contains_key(&id) => "unknown",
@@ -73,7 +73,7 @@
 
     /// Drops jobs from the log whose last state need not be told any more: a repeat of their submission that came
     /// after that would run.
-    pub(crate) fn drop_over_jobs(&mut self, now: u64) {
+    pub(crate) fn drop_finished_jobs(&mut self, now: u64) {
         let status_ms = self.bounds.status_ms;
         let is_old = |known_ms: u64| known_ms + status_ms + STATUS_MARGIN_MS < now;
         let old: Vec<_> =
--- a/src/scheduler/waits.rs
+++ b/src/scheduler/waits.rs
@@ -167,7 +167,7 @@
         if now < task.not_before_ms {
             return "a pause after its last run";
         }
-        if self.losses.holds_back(key, task, &pool, now) {
+        if self.losses.has_to_wait(key, task, &pool, now) {
             return "on trial until its pool is calm";
         }
         if !self.knows_jobs(now) {
@@ -224,7 +224,7 @@
             return "only workers that it avoids have room";
         }
         let query = PlaceQuery { terms: PlaceTerms::Anywhere, ..query };
-        if self.suspect(key).is_some()
+        if self.probation_job(key).is_some()
             && self.find_worker(service, &query, waited_ms, now).is_some()
         {
             return "no worker with room takes a probation";
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -9,8 +9,8 @@
 use crate::jobs::ports::{CommandRefusal, WorkerTarget};
 use crate::jobs::site::WorkerEntry;
 use crate::scheduler::LEASE_SLACK_MS;
-use crate::scheduler::exits::ANSWER_AGE_MAX_MS;
-use crate::scheduler::losses::PROOF_MS;
+use crate::scheduler::losses::CRASH_WINDOW_MS;
+use crate::scheduler::renewals::ANSWER_AGE_MAX_MS;
 
 /// Rate by which a worker's clock may be slow, in percent, as the platform states it.
 const CLOCK_DRIFT_PERCENT: u64 = 2;
@@ -146,7 +146,7 @@
 
     /// Whether its start is over as a danger to the worker.
     pub fn has_settled(&self) -> bool {
-        self.has_worked(PROOF_MS) && !self.is_on_probation()
+        self.has_worked(CRASH_WINDOW_MS) && !self.is_on_probation()
     }
 }
 
@@ -382,7 +382,7 @@
 
     /// Whether a suspect is just starting there.
     pub fn has_starting_suspect(&self) -> bool {
-        self.runs.values().any(|run| run.probation_ms > 0 && !run.has_worked(PROOF_MS))
+        self.runs.values().any(|run| run.probation_ms > 0 && !run.has_worked(CRASH_WINDOW_MS))
     }
 
     /// Whether a suspect is on probation there alone.
--- a/standin/src/measure/decisions.rs
+++ b/standin/src/measure/decisions.rs
@@ -21,7 +21,7 @@
 use ibisweir::jobs::site::{
     CallerLimits, PoolSpec, QueueSpec, SiteBounds, SiteConfig, VmEntry, VmState, WorkerEntry,
 };
-use ibisweir::scheduler::exits::RenewPlan;
+use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerStart};
 
@@ -289,7 +289,7 @@
                     self.running.entry(target.id.clone()).or_default().insert((task, run), end);
                     let outcome = CommandOutcome::Done(self.now);
                     self.call(|scheduler, now| {
-                        scheduler.started(&target.id, &task, run, &outcome, now);
+                        scheduler.handle_start_outcome(&target.id, &task, run, &outcome, now);
                     });
                 }
             }
@@ -353,7 +353,9 @@
                 self.due.insert(id.clone());
             }
             let outcome = CommandOutcome::Done(report);
-            self.call(|scheduler, now| scheduler.renewed(&id, &call, outcome, now, now));
+            self.call(|scheduler, now| {
+                scheduler.handle_renewal_outcome(&id, &call, outcome, now, now)
+            });
         }
     }
 }
--- a/tests/delegate.rs
+++ b/tests/delegate.rs
@@ -155,7 +155,13 @@
     let fence = scheduler.fence();
     let renewal = RenewCall { fence, exits_through: 0, lease_until_ms: None, wait: Duration::ZERO };
     let report = WorkerReport { clock_ms: 30, ..WorkerReport::default() };
-    scheduler.renewed(&"w0".into(), &renewal, CommandOutcome::Done(report), now, now);
+    scheduler.handle_renewal_outcome(
+        &"w0".into(),
+        &renewal,
+        CommandOutcome::Done(report),
+        now,
+        now,
+    );
     scheduler.tick(now, WALL_OFFSET_MS + now);
     let batch = scheduler.take_commit().expect("a run was placed");
     scheduler.committed(&batch, now);
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -67,7 +67,13 @@
                 lease_until_ms: None,
                 wait: Duration::ZERO,
             };
-            scheduler.renewed(&"w0".into(), &renewal, CommandOutcome::Done(report), now, now);
+            scheduler.handle_renewal_outcome(
+                &"w0".into(),
+                &renewal,
+                CommandOutcome::Done(report),
+                now,
+                now,
+            );
         });
     }
 
--- a/tests/scheduler_behind.rs
+++ b/tests/scheduler_behind.rs
@@ -8,8 +8,8 @@
 use ibisweir::jobs::model::{ExitKind, JobState, StepSpec};
 use ibisweir::jobs::ports::{RenewCall, WorkerReport};
 use ibisweir::jobs::site::{MaintenanceWave, WorkerEntry};
-use ibisweir::scheduler::exits::RenewPlan;
 use ibisweir::scheduler::fleet::list_rest_ms;
+use ibisweir::scheduler::renewals::RenewPlan;
 use support::stage::{POOL, Stage, bounds, config, job, service_step, step, task, vm, worker};
 
 /// Longer than every lease that a worker can have.
@@ -33,7 +33,7 @@
         ..WorkerReport::default()
     };
     let sent_ms = stage.now.saturating_sub(3_200);
-    stage.scheduler.answered_late(&id.into(), &call, report, sent_ms, stage.now);
+    stage.scheduler.handle_late_renewal(&id.into(), &call, report, sent_ms, stage.now);
     stage.workers.get_mut(id).expect("known").is_silent = true;
 }
 
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -144,9 +144,9 @@
     stage.advance(20);
     let gone: Arc<str> = "w1".into();
     let refusal = CommandOutcome::Refused(CommandRefusal::WrongLife, None);
-    stage.scheduler.started(&gone, &key, 1, &refusal, stage.now);
+    stage.scheduler.handle_start_outcome(&gone, &key, 1, &refusal, stage.now);
     stage.crash("w1");
-    stage.scheduler.stopped(&gone, &key, 1, &refusal, stage.now);
+    stage.scheduler.handle_stop_outcome(&gone, &key, 1, &refusal, stage.now);
     stage.scheduler.worker_unlisted(&gone, stage.now);
     stage.scheduler.worker_seen(worker("w1", "r1"), stage.now);
     stage.scheduler.worker_unlisted(&gone, stage.now);
--- a/tests/scheduler_rebirth.rs
+++ b/tests/scheduler_rebirth.rs
@@ -149,7 +149,13 @@
             ..WorkerReport::default()
         };
         let outcome = CommandOutcome::Done(report);
-        stage.scheduler.renewed(&FIRST.into(), &call(), outcome, stage.now, stage.now);
+        stage.scheduler.handle_renewal_outcome(
+            &FIRST.into(),
+            &call(),
+            outcome,
+            stage.now,
+            stage.now,
+        );
     }
     let id = stage.submit(2, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -179,7 +185,7 @@
     }];
     let late = WorkerReport { clock_ms: 1, born_ms: Some(0), exits, ..WorkerReport::default() };
     let outcome = CommandOutcome::Done(late);
-    stage.scheduler.renewed(&next, &call(), outcome, stage.now, stage.now);
+    stage.scheduler.handle_renewal_outcome(&next, &call(), outcome, stage.now, stage.now);
     stage.scheduler.worker_seen(worker("w1", "r1").born(0), stage.now);
     stage.pump();
     stage.advance(500);
@@ -366,9 +372,9 @@
     stage.advance(500);
     let refused = CommandOutcome::Refused(CommandRefusal::Fenced, None);
     let first: Arc<str> = FIRST.into();
-    stage.scheduler.started(&first, &task(id, 0, 0), 1, &refused, stage.now);
+    stage.scheduler.handle_start_outcome(&first, &task(id, 0, 0), 1, &refused, stage.now);
     let refused = CommandOutcome::Refused(CommandRefusal::Fenced, None);
-    stage.scheduler.renewed(&first, &call(), refused, stage.now, stage.now);
+    stage.scheduler.handle_renewal_outcome(&first, &call(), refused, stage.now, stage.now);
     assert!(!stage.scheduler.is_deposed());
 }
 
--- a/tests/scheduler_runs.rs
+++ b/tests/scheduler_runs.rs
@@ -150,7 +150,7 @@
     let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
     let id = stage.submit(1, job(vec![step(1)]));
     let fenced = CommandOutcome::Refused(CommandRefusal::Fenced, None);
-    stage.scheduler.started(&"w1".into(), &task(id, 0, 0), 1, &fenced, stage.now);
+    stage.scheduler.handle_start_outcome(&"w1".into(), &task(id, 0, 0), 1, &fenced, stage.now);
     assert!(stage.scheduler.is_deposed());
     stage.scheduler.tick(stage.now + 100, 0);
     assert!(
--- a/tests/scheduler_silence.rs
+++ b/tests/scheduler_silence.rs
@@ -6,7 +6,7 @@
 
 use ibisweir::jobs::model::{ExitKind, JobId, JobState};
 use ibisweir::jobs::ports::{CommandOutcome, RenewCall, RunningTask, VmCommand, WorkerReport};
-use ibisweir::scheduler::exits::RenewPlan;
+use ibisweir::scheduler::renewals::RenewPlan;
 use support::stage::{POOL, STANDBY, Stage, config, job, service_step, step, task, vm, worker};
 
 /// Longer than every lease that a worker can have.
@@ -151,16 +151,28 @@
         late = waiting;
         for renewal in answered {
             let SlowRenewal { call, report, sent_ms, .. } = renewal;
-            stage.scheduler.answered_late(&id, &call, report, sent_ms, now);
+            stage.scheduler.handle_late_renewal(&id, &call, report, sent_ms, now);
         }
         match open.take() {
             Some(renewal) if renewal.answered_ms <= now => {
                 let outcome = CommandOutcome::Done(renewal.report);
-                stage.scheduler.renewed(&id, &renewal.call, outcome, renewal.sent_ms, now);
+                stage.scheduler.handle_renewal_outcome(
+                    &id,
+                    &renewal.call,
+                    outcome,
+                    renewal.sent_ms,
+                    now,
+                );
             }
             Some(renewal) if renewal.given_up_ms <= now => {
                 let outcome = CommandOutcome::Unknown;
-                stage.scheduler.renewed(&id, &renewal.call, outcome, renewal.sent_ms, now);
+                stage.scheduler.handle_renewal_outcome(
+                    &id,
+                    &renewal.call,
+                    outcome,
+                    renewal.sent_ms,
+                    now,
+                );
                 late.push(renewal);
             }
             waiting => open = waiting,
@@ -226,7 +238,13 @@
         stage.advance(10);
         if let RenewPlan::Call(_, call, _) = stage.scheduler.renew_plan(&id, stage.now) {
             lease_until_ms = call.lease_until_ms;
-            stage.scheduler.renewed(&id, &call, CommandOutcome::Unknown, stage.now, stage.now);
+            stage.scheduler.handle_renewal_outcome(
+                &id,
+                &call,
+                CommandOutcome::Unknown,
+                stage.now,
+                stage.now,
+            );
         }
     }
     assert_eq!(lease_until_ms, None, "a silent worker keeps its tasks for good");
--- a/tests/second_runs.rs
+++ b/tests/second_runs.rs
@@ -76,7 +76,7 @@
         RunningTask { task: key, run: 7, checkpoint: String::new(), percent: 0, gauge: None };
     let report = WorkerReport { clock_ms: stage.now, running: vec![told], ..Default::default() };
     let call = RenewCall { fence: 0, exits_through: 0, lease_until_ms: None, wait: Duration::ZERO };
-    stage.scheduler.answered_late(&other, &call, report, sent_ms, stage.now);
+    stage.scheduler.handle_late_renewal(&other, &call, report, sent_ms, stage.now);
     stage.pump();
     let is_told = |note: &SchedulerNote| matches!(note, SchedulerNote::SecondRun { .. });
     assert!(!stage.notes.iter().any(is_told));
@@ -123,9 +123,9 @@
         let clock_ms = stage.workers[&place].clock_ms(stage.now);
         let begun = CommandOutcome::Done(clock_ms);
         stage.scheduler.command(&key, 1, stage.now);
-        stage.scheduler.started(&place, &key, 1, &begun, stage.now);
+        stage.scheduler.handle_start_outcome(&place, &key, 1, &begun, stage.now);
         let refused = CommandOutcome::Refused(refusal, Some(clock_ms));
-        stage.scheduler.started(&place, &key, 1, &refused, stage.now);
+        stage.scheduler.handle_start_outcome(&place, &key, 1, &refused, stage.now);
         stage.lane_is_slow = false;
         stage.advance(500);
         assert_eq!((stage.alive(key), stage.starts(key)), (1, 1), "{refusal:?}");
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -19,7 +19,7 @@
 use ibisweir::jobs::record::JobRecord;
 use ibisweir::jobs::site::{SiteConfig, VmEntry, WorkerEntry, life_id, life_name};
 use ibisweir::scheduler::commit::CommitBatch;
-use ibisweir::scheduler::exits::RenewPlan;
+use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerStart};
 use rand::rngs::StdRng;
@@ -362,7 +362,9 @@
             }
             ModelEvent::StartTold(term, id, key, run, outcome) => {
                 self.tell(format!("{term} hears of {key}/{run} on {id}: {outcome:?}"));
-                self.with(term, |scheduler, now| scheduler.started(&id, &key, run, &outcome, now));
+                self.with(term, |scheduler, now| {
+                    scheduler.handle_start_outcome(&id, &key, run, &outcome, now)
+                });
             }
             ModelEvent::NotSent(term, key, run) => {
                 self.tell(format!("{term} hears that {key}/{run} was not sent"));
@@ -379,7 +381,7 @@
             }
             ModelEvent::StopTold(term, id, call, outcome) => {
                 self.with(term, |scheduler, now| {
-                    scheduler.stopped(&id, &call.task, call.run, &outcome, now);
+                    scheduler.handle_stop_outcome(&id, &call.task, call.run, &outcome, now);
                 });
             }
             ModelEvent::RenewArrives(term, id, call, sent_ms, back) => {
@@ -387,7 +389,7 @@
             }
             ModelEvent::RenewTold(term, id, call, sent_ms, outcome) => {
                 self.with(term, |scheduler, now| {
-                    scheduler.renewed(&id, &call, outcome, sent_ms, now);
+                    scheduler.handle_renewal_outcome(&id, &call, outcome, sent_ms, now);
                 });
                 if let Some(leader) = self.leader(term) {
                     leader.renewing.remove(&id);
@@ -395,7 +397,7 @@
             }
             ModelEvent::ToldLate(term, id, call, sent_ms, report) => {
                 self.with(term, |scheduler, now| {
-                    scheduler.answered_late(&id, &call, report, sent_ms, now);
+                    scheduler.handle_late_renewal(&id, &call, report, sent_ms, now);
                 });
             }
             ModelEvent::Commit(term, batch) => self.commit(term, batch),
@@ -622,7 +624,7 @@
                 }
             }
             Some(RenewPlan::Wait(_)) => {}
-            Some(RenewPlan::Leave) | None => {
+            Some(RenewPlan::Stop) | None => {
                 if let Some(leader) = self.leader(term) {
                     leader.watched.remove(&id);
                 }
--- a/tests/start_deadline.rs
+++ b/tests/start_deadline.rs
@@ -140,7 +140,7 @@
             for _ in actions.iter().filter(|action| matches!(action, SchedulerAction::Send(..))) {
                 sent += 1;
                 if stage.scheduler.command(&key, 1, now).is_some() {
-                    stage.scheduler.started(&"w0".into(), &key, 1, &refused, now);
+                    stage.scheduler.handle_start_outcome(&"w0".into(), &key, 1, &refused, now);
                 }
             }
         }
--- a/tests/start_outcomes.rs
+++ b/tests/start_outcomes.rs
@@ -42,7 +42,7 @@
     /// The outcome of a try.
     fn end_try(&mut self, outcome: &CommandOutcome<u64>) {
         let now = self.stage.now;
-        self.stage.scheduler.started(&self.place, &self.key, 1, outcome, now);
+        self.stage.scheduler.handle_start_outcome(&self.place, &self.key, 1, outcome, now);
     }
 
     fn clock_ms(&self) -> u64 {
--- a/tests/support/cancel_leader.rs
+++ b/tests/support/cancel_leader.rs
@@ -11,7 +11,7 @@
 };
 use ibisweir::jobs::site::{life_id, life_name};
 use ibisweir::scheduler::commit::CommitBatch;
-use ibisweir::scheduler::exits::RenewPlan;
+use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerStart};
 
@@ -300,7 +300,9 @@
         self.at_entry(HOP_MS, leader, move |site| {
             let node = site.node(leader);
             let now = node.now();
-            node.with_scheduler(|scheduler| scheduler.started(&id, &task, run, &outcome, now));
+            node.with_scheduler(|scheduler| {
+                scheduler.handle_start_outcome(&id, &task, run, &outcome, now)
+            });
         });
     }
 
@@ -387,7 +389,7 @@
                 let node = site.node(life);
                 let now = node.now();
                 node.with_scheduler(|scheduler| {
-                    scheduler.stopped(&id, &call.task, call.run, &outcome, now);
+                    scheduler.handle_stop_outcome(&id, &call.task, call.run, &outcome, now);
                 });
             });
         });
@@ -511,7 +513,7 @@
                     let node = site.node(life);
                     if site.leads(life, term) {
                         node.with_scheduler(|scheduler| {
-                            scheduler.answered_late(&id, &call, report, now, node.now());
+                            scheduler.handle_late_renewal(&id, &call, report, now, node.now());
                         });
                     }
                 });
@@ -534,7 +536,9 @@
             }
             let node = site.node(life);
             let now = node.now();
-            node.with_scheduler(|scheduler| scheduler.renewed(&id, &call, outcome, sent_ms, now));
+            node.with_scheduler(|scheduler| {
+                scheduler.handle_renewal_outcome(&id, &call, outcome, sent_ms, now)
+            });
             site.entries[life.0].renewing.remove(&id);
         });
     }
--- a/tests/support/stage.rs
+++ b/tests/support/stage.rs
@@ -12,7 +12,7 @@
 };
 use ibisweir::jobs::record::JobRecord;
 use ibisweir::jobs::site::{SiteBounds, SiteConfig, VmEntry, WorkerEntry, life_id, life_name};
-use ibisweir::scheduler::exits::RenewPlan;
+use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerNote, SchedulerStart};
 
@@ -494,7 +494,7 @@
             Some(RunCommand::Start(call)) => {
                 self.permits_used.push(call.permit.clone());
                 let outcome = self.start(id, &call);
-                self.scheduler.started(id, &task, run, &outcome, self.now);
+                self.scheduler.handle_start_outcome(id, &task, run, &outcome, self.now);
             }
             Some(RunCommand::Stop(call)) => self.stop(id, &call),
             None => {}
@@ -511,7 +511,7 @@
             }
             _ => CommandOutcome::Unknown,
         };
-        self.scheduler.stopped(id, &call.task, call.run, &outcome, self.now);
+        self.scheduler.handle_stop_outcome(id, &call.task, call.run, &outcome, self.now);
     }
 
     fn start(&mut self, id: &Arc<str>, call: &StartCall) -> CommandOutcome<u64> {
@@ -605,7 +605,7 @@
             CommandOutcome::Done(WorkerReport { born_ms, ..worker.report(now, &gauges) })
         };
         let sent_ms = if worker.is_stale { START_MS } else { now };
-        self.scheduler.renewed(id, call, outcome, sent_ms, self.now);
+        self.scheduler.handle_renewal_outcome(id, call, outcome, sent_ms, self.now);
     }
 }
 
