--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -338,7 +338,7 @@
                     self.node.touch();
                     self.node.with_scheduler(|scheduler| {
                         scheduler.workers_listed(entries, now);
-                        scheduler.rooms_read(asked_ms);
+                        scheduler.workers_read(asked_ms);
                     });
                 }
                 TailStep::Records(records) => {
@@ -346,7 +346,7 @@
                     self.take_workers(&records, now);
                     if tail.is_at_end() {
                         let shown_ms = shown_ms(records.is_empty(), sent_ms, WORKERS_WAIT, now);
-                        self.node.with_scheduler(|scheduler| scheduler.rooms_read(shown_ms));
+                        self.node.with_scheduler(|scheduler| scheduler.workers_read(shown_ms));
                     }
                 }
                 TailStep::Failed => {}
--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -291,7 +291,7 @@
             let Some(target) = self.target(&id) else { continue };
             let outcome = self.workers.throttle(&target, &call, percent, COMMAND_PATIENCE).await;
             let is_done = matches!(outcome, CommandOutcome::Done(_));
-            self.node.with_scheduler(|scheduler| scheduler.throttled(&call, is_done));
+            self.node.with_scheduler(|scheduler| scheduler.handle_throttle_outcome(&call, is_done));
             self.node.wake.notify_one();
         }
     }
--- a/src/scheduler/room.rs
+++ b/src/scheduler/capacity.rs
@@ -19,27 +19,27 @@
 
 impl Scheduler {
     /// What the workers say of themselves has been read through to its end, as it was at `shown_ms`.
-    pub fn rooms_read(&mut self, shown_ms: u64) {
+    pub fn workers_read(&mut self, shown_ms: u64) {
         self.rooms_ms = self.rooms_ms.max(shown_ms);
         self.needs_dispatch = true;
     }
 
     /// Whether starts may go by the rooms of a pool's workers.
-    pub(crate) fn knows_rooms(&self, pool: &str, now: u64) -> bool {
+    pub(crate) fn is_capacity_view_fresh(&self, pool: &str, now: u64) -> bool {
         let is_guarded = self.config.pool(pool).is_some_and(|pool| pool.is_guarded);
         is_guarded || now <= self.rooms_ms + ROOM_AGE_MS
     }
 
     /// Takes what a worker says of itself, and takes back the starts that no longer fit, the latest first, or all
     /// if it is about to leave.
-    pub(crate) fn resize_worker(&mut self, entry: WorkerEntry, now: u64) {
+    pub(crate) fn update_worker_entry(&mut self, entry: WorkerEntry, now: u64) {
         let id = entry.id.clone();
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let has_shrunk = !entry.capacity.holds(&worker.entry.capacity);
         let is_leaving = entry.is_draining;
         worker.entry = entry;
         if is_leaving {
-            self.take_back_starts(&id, "its worker is leaving", now);
+            self.revoke_starts(&id, "its worker is leaving", now);
             return;
         }
         if !has_shrunk {
@@ -56,7 +56,7 @@
     }
 
     /// Takes back all starts that a worker has not answered.
-    pub(crate) fn take_back_starts(&mut self, id: &Arc<str>, reason: &'static str, now: u64) {
+    pub(crate) fn revoke_starts(&mut self, id: &Arc<str>, reason: &'static str, now: u64) {
         for (key, run) in self.pending_starts(id) {
             self.take_back_start(&key, run, reason, now);
         }
@@ -69,7 +69,7 @@
             let task = self.jobs.get(&key.job)?.task(key)?;
             let live = task.live.iter().find(|live| live.run == *run)?;
             let is_pending = matches!(live.phase, RunPhase::Planned | RunPhase::Starting);
-            is_pending.then_some((live.since_ms, *key, *run))
+            is_pending.then_some((live.phase_since_ms, *key, *run))
         };
         let mut pending: Vec<_> = worker.runs.keys().filter_map(since).collect();
         pending.sort_unstable_by(|one, other| other.cmp(one));
--- a/src/scheduler/copies.rs
+++ b/src/scheduler/copies.rs
@@ -39,7 +39,9 @@
             let Some(service) = self.jobs.get(&key.job).map(|job| self.service_of(job)) else {
                 continue;
             };
-            if !self.knows_rooms(&service, now) || !self.has_cap_room(&key, &spec.need) {
+            if !self.is_capacity_view_fresh(&service, now)
+                || !self.may_start_under_cap(&key, &spec.need)
+            {
                 continue;
             }
             let (beside, racks) = self.neighbours(&key.step_key());
@@ -76,7 +78,8 @@
             return false;
         }
         let is_young = |live: &LiveRun| {
-            now.saturating_sub(live.since_ms) <= COPY_SLACK_MS && !self.is_silent(&live.worker)
+            now.saturating_sub(live.phase_since_ms) <= COPY_SLACK_MS
+                && !self.is_silent(&live.worker)
         };
         if task.live.iter().any(is_young) {
             return false;
@@ -84,7 +87,7 @@
         let usual = median_runtime_ms(step, u32::try_from(index).ok());
         task.live.iter().all(|live| {
             let is_silent = self.is_silent(&live.worker);
-            let elapsed = now.saturating_sub(live.since_ms);
+            let elapsed = now.saturating_sub(live.phase_since_ms);
             let is_late = usual.is_some_and(|usual| {
                 live.phase == RunPhase::Running
                     && elapsed > usual * 3 / 2 + COPY_SLACK_MS
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -45,10 +45,10 @@
 
 impl ArrivalRate {
     /// A job has arrived, of a queue whose tasks take as long as `model` says.
-    pub fn arrive(&mut self, spec: &JobSpec, model: &RuntimeModel, now: u64) {
+    pub fn record_arrival(&mut self, spec: &JobSpec, model: &RuntimeModel, now: u64) {
         self.decay(now);
-        self.steady.arrive(spec, model);
-        self.quick.arrive(spec, model);
+        self.steady.add_job(spec, model);
+        self.quick.add_job(spec, model);
     }
 
     /// What the work that arrives now will keep busy.
@@ -70,9 +70,9 @@
         WorkRate { window_ms, cpu: 0.0, memory: 0.0, accelerators: 0.0 }
     }
 
-    fn arrive(&mut self, spec: &JobSpec, model: &RuntimeModel) {
+    fn add_job(&mut self, spec: &JobSpec, model: &RuntimeModel) {
         for step in spec.steps.iter().filter(|step| !step.is_service) {
-            let expected_ms = model.expect(step.estimate_ms);
+            let expected_ms = model.expected_ms(step.estimate_ms);
             let held = real(expected_ms) * f64::from(step.count) / self.window_ms;
             self.cpu += real(step.need.cpu) * held;
             self.memory += real(step.need.memory) * held;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -52,7 +52,7 @@
             }
             return;
         }
-        self.clear_promises();
+        self.clear_claims();
         let rooms = self.largest_rooms(now);
         let mut ready = self.ready_steps(&rooms, now);
         ready.sort_by_key(|step| (step.rank, step.key));
@@ -65,7 +65,7 @@
             let submission = self.jobs.get(&step.key.job).map(|job| job.submission.clone());
             let Some(submission) = submission else { continue };
             let spec = &submission.spec.steps[usize::from(step.key.step)];
-            if !self.knows_rooms(&step.service, now) {
+            if !self.is_capacity_view_fresh(&step.service, now) {
                 continue;
             }
             let booked = spec.booked();
@@ -85,7 +85,7 @@
         if std::mem::take(&mut self.looks_for_copies) {
             self.place_copies(now);
         }
-        self.clear_promises();
+        self.clear_claims();
         self.is_held_back = !self.has_start_room();
     }
 
@@ -148,7 +148,7 @@
                         .tasks
                         .iter()
                         .enumerate()
-                        .filter(|(_, task)| !task.is_done && !task.is_covered())
+                        .filter(|(_, task)| !task.is_done && !task.has_live_run())
                         .filter(|(_, task)| {
                             task.not_before_ms <= now && !task.losses.is_exhausted()
                         })
@@ -202,7 +202,9 @@
         let mut waiting = 0;
         for key in &step.waiting {
             // Its organisation's other tasks wait as well, and nobody else's.
-            if !self.has_start_room() || !self.has_cap_room(key, &spec.need.times(waiting + 1)) {
+            if !self.has_start_room()
+                || !self.may_start_under_cap(key, &spec.need.times(waiting + 1))
+            {
                 return waiting == 0;
             }
             let waited = self.waited_ms(key, now);
@@ -223,7 +225,7 @@
             let mut found = self.find_on_terms(&step.service, &query, &terms, waited, now);
             if found.is_none()
                 && is_lasting
-                && let Some(promised) = self.make_room(&step.service, &query, step.rank, now)
+                && let Some(promised) = self.preempt_for(&step.service, &query, step.rank, now)
             {
                 // Beside a suspect nothing else may start, so no other can count on room there.
                 if self.probation_job(key).is_some() && !last.is_shared() {
@@ -270,10 +272,10 @@
     }
 
     /// Whether the cap of a task's organisation leaves room for so much more.
-    pub(crate) fn has_cap_room(&self, key: &TaskKey, need: &ResourceVector) -> bool {
+    pub(crate) fn may_start_under_cap(&self, key: &TaskKey, need: &ResourceVector) -> bool {
         let organisation =
             self.jobs.get(&key.job).and_then(|job| job.submission.organisation.as_ref());
-        self.organisations.has_room(organisation, need)
+        self.organisations.may_start(organisation, need)
     }
 
     pub(crate) fn next_run(&self, key: &TaskKey) -> u32 {
@@ -406,7 +408,7 @@
         // The cheapest question first: in a burst few workers have room.
         self.workers
             .iter()
-            .filter(|(id, worker)| self.unpromised(id, worker).holds(&booked))
+            .filter(|(id, worker)| self.unclaimed(id, worker).holds(&booked))
             .filter(|(_, worker)| &*worker.entry.service == service)
             .filter(|(_, worker)| worker.takes(query.terms, now))
             .filter(|(id, worker)| is_allowed(id, worker, query))
@@ -423,7 +425,7 @@
     /// In a hurry also where other tasks can be displaced, as in a burst no room is free for as long as
     /// it lasts; and where some worker need not be emptied itself, only such ones count, as a task that
     /// is moved on to the next VM of the wave uses up its budget again.
-    pub(crate) fn has_place_elsewhere(&self, key: &TaskKey, now: u64) -> bool {
+    pub(crate) fn may_fit_elsewhere(&self, key: &TaskKey, now: u64) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(spec) = job.spec(key) else { return false };
         let Some(queue) = self.queue_of(job) else { return false };
@@ -450,7 +452,7 @@
         let has_lasting = is_hurried && hosts.iter().any(|(is_due, _)| !is_due);
         hosts.iter().filter(|(is_due, _)| !(has_lasting && *is_due)).any(|(_, worker)| {
             worker.free().holds(&spec.booked())
-                || is_hurried && self.can_make_room(worker, spec, rank, now)
+                || is_hurried && self.may_preempt_for(worker, spec, rank, now)
         })
     }
 
--- a/src/scheduler/absence.rs
+++ b/src/scheduler/downtime.rs
@@ -37,21 +37,21 @@
 
 /// When a run was last known to be alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeenTime {
+pub struct LastAlive {
     /// By the leader's steady clock, in milliseconds.
     pub at_ms: u64,
     /// The same in milliseconds since the epoch, for the log.
     pub wall_ms: u64,
 }
 
-impl SeenTime {
+impl LastAlive {
     /// What the log tells; where it does not know, the run is taken to have been alive until now.
-    pub fn restore(logged_ms: u64, now: u64, wall_ms: u64) -> SeenTime {
+    pub fn restore(logged_ms: u64, now: u64, wall_ms: u64) -> LastAlive {
         match logged_ms {
-            0 => SeenTime { at_ms: now, wall_ms },
+            0 => LastAlive { at_ms: now, wall_ms },
             _ => {
                 let age_ms = wall_ms.saturating_sub(logged_ms);
-                SeenTime { at_ms: now.saturating_sub(age_ms), wall_ms: logged_ms }
+                LastAlive { at_ms: now.saturating_sub(age_ms), wall_ms: logged_ms }
             }
         }
     }
@@ -69,20 +69,21 @@
     }
 
     fn is_absent(&self, ms: u64, now: u64) -> bool {
-        self.seen.is_some_and(|seen| now >= seen.at_ms + ms)
+        self.last_alive.is_some_and(|seen| now >= seen.at_ms + ms)
     }
 }
 
 impl Scheduler {
     /// Takes in when a run that is over was last known to be alive. A start that was refused tells nothing.
-    pub(crate) fn see_last(&mut self, key: &TaskKey, live: &LiveRun, now: u64) {
-        if !live.is_listed && !live.is_counted {
+    pub(crate) fn record_last_alive(&mut self, key: &TaskKey, live: &LiveRun, now: u64) {
+        if !live.is_listed && !live.is_loss_counted {
             return;
         }
-        let at_ms = live.seen_ms.max(live.since_ms).max(self.losses.opened_ms()).min(now);
-        let seen = SeenTime { at_ms, wall_ms: self.wall_ms.saturating_sub(now - at_ms) };
+        let at_ms =
+            live.last_listed_ms.max(live.phase_since_ms).max(self.losses.opened_ms()).min(now);
+        let seen = LastAlive { at_ms, wall_ms: self.wall_ms.saturating_sub(now - at_ms) };
         if let Some(task) = self.task_mut(key) {
-            task.seen = Some(seen);
+            task.last_alive = Some(seen);
         }
     }
 
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -14,7 +14,7 @@
 use crate::scheduler::incarnations::IncarnationTable;
 use crate::scheduler::losses::IncarnationEnd;
 use crate::scheduler::maintenance::WaveRun;
-use crate::scheduler::needs::{NeedKind, PoolNeed, give, is_scarce};
+use crate::scheduler::needs::{NeedKind, PoolNeed, has_shortage, take_idle_vm};
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerNote};
 
 /// Time between two looks at the VM list while something is under way, in milliseconds.
@@ -203,7 +203,7 @@
         if is_fresh {
             let needs = self.pool_needs(now);
             self.note_pools(&needs, now);
-            self.plan_waves(is_scarce(&needs), now);
+            self.plan_waves(has_shortage(&needs), now);
             self.reassign_withheld_vms(now);
             self.plan_pools(needs, now);
             self.evict_services(now);
@@ -398,13 +398,13 @@
         // Work that waits goes before work that is expected, in every pool.
         for kind in [NeedKind::Now, NeedKind::Soon] {
             let short: Vec<(Arc<str>, usize)> =
-                needs.iter().map(|(pool, need)| (pool.clone(), need.short(kind))).collect();
+                needs.iter().map(|(pool, need)| (pool.clone(), need.shortage(kind))).collect();
             for (pool, count) in short {
                 for _ in 0..count {
-                    let donor = give(&mut needs, &pool, kind).or_else(|| spare.pop());
+                    let donor = take_idle_vm(&mut needs, &pool, kind).or_else(|| spare.pop());
                     let Some(vm) = donor else { break };
                     if let Some(need) = needs.get_mut(&pool) {
-                        need.coming += 1;
+                        need.arriving += 1;
                     }
                     self.intend(VmCommand::Assign { vm, pool: pool.clone() }, now);
                 }
@@ -443,7 +443,7 @@
                 needed: need.needed,
                 usable: need.usable,
                 idle: need.idle.len(),
-                booked: need.booked.share_of(&need.room),
+                booked: need.allocated.share_of(&need.capacity),
             });
         }
     }
@@ -452,7 +452,8 @@
     fn keep_wanted(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, standby: &str) {
         let is_wanted = |vm: &Arc<str>| {
             let pool = self.fleet.vms.get(vm).map(|vm| &vm.pool);
-            pool.and_then(|pool| needs.get(pool)).is_some_and(|need| need.short(NeedKind::Soon) > 0)
+            pool.and_then(|pool| needs.get(pool))
+                .is_some_and(|need| need.shortage(NeedKind::Soon) > 0)
         };
         let kept: Vec<Arc<str>> = self
             .fleet
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -16,7 +16,7 @@
             return true;
         }
         let members = u64::try_from(step.waiting.len()).unwrap_or(u64::MAX);
-        if !self.has_cap_room(&step.waiting[0], &spec.need.times(members)) {
+        if !self.may_start_under_cap(&step.waiting[0], &spec.need.times(members)) {
             return true;
         }
         let Some(permitted) = self.permitted(step, now) else { return true };
@@ -66,7 +66,7 @@
             .workers
             .iter()
             .filter(|(_, worker)| worker.entry.service == step.service && worker.takes(terms, now))
-            .map(|(id, worker)| (id, self.unpromised(id, worker)))
+            .map(|(id, worker)| (id, self.unclaimed(id, worker)))
             .collect();
         let mut plan = Vec::with_capacity(step.waiting.len());
         for _ in &step.waiting {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -6,7 +6,7 @@
 use crate::jobs::book::BookedJob;
 use crate::jobs::model::{JobId, JobState, JobSubmission, StepSpec, TASKS_MAX, TaskKey};
 use crate::jobs::record::{JobProgress, LossCount, TaskProgress, TaskSetbacks};
-use crate::scheduler::absence::SeenTime;
+use crate::scheduler::downtime::LastAlive;
 
 /// Share of its speed from which a new leader regulates a run, in percent: what the leader before allowed is not known.
 const INHERITED_SHARE: u32 = 50;
@@ -36,7 +36,7 @@
     /// Where it is in its life.
     pub phase: RunPhase,
     /// When it entered the phase, in milliseconds.
-    pub since_ms: u64,
+    pub phase_since_ms: u64,
     /// When the start or stop may be sent again, in milliseconds.
     pub retry_ms: u64,
     /// Latest progress that the worker told, in percent.
@@ -52,9 +52,9 @@
     /// Whether its worker has listed it as running.
     pub is_listed: bool,
     /// When it last did, in milliseconds.
-    pub seen_ms: u64,
+    pub last_listed_ms: u64,
     /// Whether the loss of a worker that may have had it was counted.
-    pub is_counted: bool,
+    pub is_loss_counted: bool,
     /// Whether a start had no answer: it may be carried out seconds later.
     pub is_in_doubt: bool,
     /// Tries of its start that were handed out to be sent and whose outcome is not known yet.
@@ -76,7 +76,7 @@
             worker,
             run,
             phase: RunPhase::Planned,
-            since_ms: now,
+            phase_since_ms: now,
             retry_ms: now,
             percent: 0,
             progress_ms: now,
@@ -84,8 +84,8 @@
             answered_ms: None,
             is_sent: false,
             is_listed: false,
-            seen_ms: 0,
-            is_counted: false,
+            last_listed_ms: 0,
+            is_loss_counted: false,
             is_in_doubt: false,
             open_tries: 0,
             stops: 0,
@@ -103,7 +103,7 @@
     /// Enters a phase.
     pub fn enter(&mut self, phase: RunPhase, now: u64) {
         self.phase = phase;
-        self.since_ms = now;
+        self.phase_since_ms = now;
         self.retry_ms = now;
         self.answered_ms = None;
         self.stops = 0;
@@ -138,19 +138,19 @@
     /// Workers that were lost under it.
     pub losses: LossCount,
     /// Services only: when it was last at work, in milliseconds.
-    pub at_work_ms: u64,
+    pub last_serving_ms: u64,
     /// When its last run was last known to be alive.
-    pub seen: Option<SeenTime>,
+    pub last_alive: Option<LastAlive>,
 }
 
 impl TaskRun {
     /// Whether a run is on its way or at work.
-    pub fn is_covered(&self) -> bool {
+    pub fn has_live_run(&self) -> bool {
         !self.live.is_empty()
     }
 
     /// Whether a service task is at work.
-    pub fn is_at_work(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.live.iter().any(|live| live.phase == RunPhase::Running && live.percent >= 100)
     }
 }
@@ -270,14 +270,14 @@
     }
 
     /// Takes in what the log tells of when its tasks were last known to run.
-    pub(crate) fn restore_seen(&mut self, job: &BookedJob, now: u64, wall_ms: u64) {
+    pub(crate) fn restore_last_alive(&mut self, job: &BookedJob, now: u64, wall_ms: u64) {
         let Some(progress) = &job.progress else { return };
         let lost = progress.setbacks.iter().enumerate().filter(|(_, told)| told.losses.all > 0);
         for (position, told) in lost {
             let logged_ms = progress.seen_ms.get(position).copied().unwrap_or_default();
             let key = self.setback_key(told);
             if let Some(task) = self.task_mut(&key) {
-                task.seen = Some(SeenTime::restore(logged_ms, now, wall_ms));
+                task.last_alive = Some(LastAlive::restore(logged_ms, now, wall_ms));
             }
         }
     }
@@ -410,7 +410,7 @@
         for (occurrence, run) in &self.occurrences {
             for (step, step_run) in run.steps.iter().enumerate() {
                 for (index, task) in step_run.tasks.iter().enumerate() {
-                    if task.is_covered() {
+                    if task.has_live_run() {
                         keys.push(self.key(*occurrence, step, index));
                     }
                 }
@@ -460,7 +460,7 @@
         let (losses, moves) = (task.losses, task.moves);
         if losses.all + moves > 0 && !task.is_done {
             progress.setbacks.push(TaskSetbacks { occurrence, step, index, losses, moves });
-            progress.seen_ms.push(task.seen.map_or(0, |seen| seen.wall_ms));
+            progress.seen_ms.push(task.last_alive.map_or(0, |seen| seen.wall_ms));
         }
         let live = task
             .live
--- a/src/scheduler/loss_attribution.rs
+++ b/src/scheduler/loss_attribution.rs
@@ -153,7 +153,7 @@
             let Some(task) = job.task_mut(&run.task) else { continue };
             let live = task.live.iter_mut().find(|live| live.run == run.run);
             // Carried over to the next life of its worker, the same start can be lost again.
-            if live.is_some_and(|live| std::mem::replace(&mut live.is_counted, true)) {
+            if live.is_some_and(|live| std::mem::replace(&mut live.is_loss_counted, true)) {
                 continue;
             }
             task.losses.add(run.is_at_start());
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -320,7 +320,7 @@
             let services: Vec<(TaskKey, u32)> =
                 worker.runs.iter().filter(|(_, run)| run.is_service).map(|(key, _)| *key).collect();
             for (key, run) in services {
-                if self.may_evict(&key) && self.has_place_elsewhere(&key, now) {
+                if self.may_evict(&key) && self.may_fit_elsewhere(&key, now) {
                     self.stop_run(&key, run, "its VM is wanted", now);
                 }
             }
@@ -339,7 +339,7 @@
         let answers = |live: &LiveRun| {
             self.workers.get(&live.worker).is_some_and(|worker| worker.silent_since_ms.is_none())
         };
-        task.is_at_work() && task.live.iter().any(answers)
+        task.is_serving() && task.live.iter().any(answers)
     }
 
     /// A VM's maintenance has begun or is over.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -12,13 +12,13 @@
 //!   the life of its worker is over, or every lease that the worker can have has run out.
 
 pub(crate) mod abandoned;
-pub mod absence;
 pub mod action;
+mod capacity;
 pub mod commit;
 mod copies;
 pub mod demand;
 pub mod dispatch;
-mod displace;
+pub mod downtime;
 pub mod fleet;
 mod gang;
 mod incarnations;
@@ -29,9 +29,9 @@
 pub mod needs;
 mod organisation;
 pub mod overview;
+mod preemption;
 pub mod rank;
 pub mod renewals;
-mod room;
 pub mod runs;
 pub mod runtime;
 mod share;
@@ -56,14 +56,14 @@
 use crate::scheduler::abandoned::AbandonedRuns;
 pub use crate::scheduler::action::{RecordSource, SchedulerAction, SchedulerNote};
 use crate::scheduler::commit::CommitQueue;
-use crate::scheduler::displace::RoomPromises;
 use crate::scheduler::fleet::FleetState;
 use crate::scheduler::incarnations::IncarnationTable;
 use crate::scheduler::job::JobRun;
 use crate::scheduler::losses::LossTracker;
 use crate::scheduler::organisation::OrganisationLedger;
+use crate::scheduler::preemption::CapacityClaims;
 use crate::scheduler::runtime::RuntimeModel;
-use crate::scheduler::share::ShareBook;
+use crate::scheduler::share::ShareLimiter;
 use crate::scheduler::tombstones::TombstoneTable;
 use crate::scheduler::waits::WaitLog;
 use crate::scheduler::worker::WorkerRun;
@@ -159,7 +159,7 @@
     lives: IncarnationTable,
     waits: WaitLog,
     organisations: OrganisationLedger,
-    shares: ShareBook,
+    shares: ShareLimiter,
     /// When what workers say of themselves was last read through, in milliseconds.
     rooms_ms: u64,
     /// When the job log held no more than what we have been told, in milliseconds.
@@ -167,7 +167,7 @@
     /// Whether nothing was placed as the jobs are not known well enough.
     is_blind: bool,
     permits: HashMap<StepKey, StepPermits>,
-    promises: RoomPromises,
+    claims: CapacityClaims,
     commits: CommitQueue,
     fleet: FleetState,
     pace: FlowPace,
@@ -216,12 +216,12 @@
             lives: IncarnationTable::default(),
             waits: WaitLog::open(now),
             organisations: OrganisationLedger::default(),
-            shares: ShareBook::default(),
+            shares: ShareLimiter::default(),
             rooms_ms: start.rooms_ms,
             jobs_ms: start.jobs_ms,
             is_blind: false,
             permits: HashMap::new(),
-            promises: RoomPromises::default(),
+            claims: CapacityClaims::default(),
             commits: CommitQueue::default(),
             fleet: FleetState::default(),
             pace: FlowPace::default(),
@@ -267,7 +267,7 @@
                 return;
             }
         }
-        run.restore_seen(job, now, wall_ms);
+        run.restore_last_alive(job, now, wall_ms);
         let exhausted = run.exhausted_task();
         if !run.state.is_final() {
             run.open_losses().for_each(|losses| self.losses.track_losses(id, losses));
@@ -457,7 +457,7 @@
                     let service = self.service_of(&run);
                     let model = self.queue_of(&run).map(|queue| self.runtime_model(queue));
                     let arrivals = self.fleet.arrivals.entry(service).or_default();
-                    arrivals.arrive(&submission.spec, &model.unwrap_or_default(), now);
+                    arrivals.record_arrival(&submission.spec, &model.unwrap_or_default(), now);
                 }
                 self.jobs.insert(*job, run);
                 self.scheduled.insert(*job);
@@ -477,7 +477,7 @@
     fn is_within_share(&mut self, submission: &JobSubmission, now: u64) -> bool {
         let Some(organisation) = &submission.organisation else { return true };
         let weight = self.organisations.weight(organisation);
-        self.shares.arrive(organisation, weight, now)
+        self.shares.try_admit(organisation, weight, now)
     }
 
     fn cancel(&mut self, id: JobId, source: RecordSource, now: u64) {
@@ -522,7 +522,7 @@
             worker.draining_since_ms = Some(now);
             let runs = worker.runs.len();
             self.note(SchedulerNote::Worker { worker: id, change: "draining", runs });
-            self.resize_worker(entry, now);
+            self.update_worker_entry(entry, now);
             return;
         }
         let was_listed = std::mem::replace(&mut worker.is_listed, true);
@@ -530,7 +530,7 @@
             worker.draining_since_ms = None;
         }
         let target = WorkerTarget { id, address: entry.address };
-        self.resize_worker(entry, now);
+        self.update_worker_entry(entry, now);
         if !was_listed {
             self.actions.push(SchedulerAction::Watch(target));
         }
@@ -544,7 +544,7 @@
 
     /// A life's entry is gone. It may run on behind a cut, so its runs are not over yet.
     fn life_unlisted(&mut self, id: &Arc<str>, now: u64) {
-        self.take_back_starts(id, "its worker is not listed", now);
+        self.revoke_starts(id, "its worker is not listed", now);
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.is_listed = false;
         worker.silent_since_ms.get_or_insert(now);
@@ -611,7 +611,7 @@
             }
             self.stop_broken_gangs(now);
             self.drop_finished_jobs(now);
-            self.tell_waits(now);
+            self.log_waits(now);
             self.dropped_bounds.retain(|_, bound| now < *bound);
             self.looks_for_copies = true;
             self.needs_dispatch = true;
--- a/src/scheduler/needs.rs
+++ b/src/scheduler/needs.rs
@@ -40,9 +40,9 @@
     pub(crate) needed: usize,
     pub(crate) usable: usize,
     /// On their way.
-    pub(crate) coming: usize,
-    pub(crate) booked: ResourceVector,
-    pub(crate) room: ResourceVector,
+    pub(crate) arriving: usize,
+    pub(crate) allocated: ResourceVector,
+    pub(crate) capacity: ResourceVector,
     /// Empty VMs that it can give away, and for how long they have idled, in milliseconds.
     pub(crate) idle: Vec<(Arc<str>, u64)>,
 }
@@ -70,8 +70,8 @@
                     continue;
                 }
                 need.usable += 1;
-                need.booked.add(worker.used());
-                need.room.add(&worker.entry.capacity);
+                need.allocated.add(worker.used());
+                need.capacity.add(&worker.entry.capacity);
                 let vm = self.fleet.vm_of(&worker.entry.id);
                 arrived += usize::from(vm.is_none());
                 if let Some(vm) = vm.filter(|vm| vm.state == VmState::Up)
@@ -98,7 +98,7 @@
             need.needed_now = vms_for(&waiting, &room).max(apart).max(1);
             need.needed = vms_for(&booked, &room).max(need.needed_now);
             // Lists can be seconds old: workers that none has shown yet are those of VMs that it shows on their way.
-            need.coming = self.fleet.arriving(&pool.name).saturating_sub(arrived);
+            need.arriving = self.fleet.arriving(&pool.name).saturating_sub(arrived);
             needs.insert(pool.name.clone(), need);
         }
         needs
@@ -135,7 +135,7 @@
                     // What is late already is worth little, and what comes beyond a share must cost the
                     // others nothing: both take what is there.
                     let counted = match (tier, is_begun) {
-                        (RankTier::Beyond | RankTier::Late | RankTier::Overdue, _) => 0,
+                        (RankTier::BeyondShare | RankTier::Late | RankTier::Overdue, _) => 0,
                         (_, true) => waiting * 100,
                         (_, false) => waiting * usize::try_from(UPCOMING_PERCENT).unwrap_or(0),
                     };
@@ -183,8 +183,8 @@
         }
     }
 
-    pub(crate) fn short(&self, kind: NeedKind) -> usize {
-        self.needed(kind).saturating_sub(self.usable + self.coming)
+    pub(crate) fn shortage(&self, kind: NeedKind) -> usize {
+        self.needed(kind).saturating_sub(self.usable + self.arriving)
     }
 
     pub(crate) fn surplus(&self, kind: NeedKind) -> usize {
@@ -193,12 +193,12 @@
 }
 
 /// Whether work waits for VMs.
-pub(crate) fn is_scarce(needs: &BTreeMap<Arc<str>, PoolNeed>) -> bool {
-    needs.values().any(|need| need.short(NeedKind::Now) > 0)
+pub(crate) fn has_shortage(needs: &BTreeMap<Arc<str>, PoolNeed>) -> bool {
+    needs.values().any(|need| need.shortage(NeedKind::Now) > 0)
 }
 
 /// Takes an empty VM from the pool that can best spare one.
-pub(crate) fn give(
+pub(crate) fn take_idle_vm(
     needs: &mut BTreeMap<Arc<str>, PoolNeed>,
     to: &str,
     kind: NeedKind,
--- a/src/scheduler/organisation.rs
+++ b/src/scheduler/organisation.rs
@@ -40,7 +40,7 @@
     }
 
     /// A run is chosen, or read from the log.
-    pub fn book(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
+    pub fn add_run(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
         let Some(organisation) = organisation else { return };
         let entry = self.uses.entry(organisation.clone()).or_default();
         entry.used.add(need);
@@ -48,7 +48,7 @@
     }
 
     /// A run is over.
-    pub fn release(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
+    pub fn remove_run(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
         let Some(entry) = organisation.and_then(|name| self.uses.get_mut(name)) else { return };
         entry.used = entry.used.less(need);
         entry.runs = entry.runs.saturating_sub(1);
@@ -70,7 +70,7 @@
     }
 
     /// Whether an organisation may have so much more running. Jobs of a queue that is open to all have no cap.
-    pub fn has_room(&self, organisation: Option<&Arc<str>>, need: &ResourceVector) -> bool {
+    pub fn may_start(&self, organisation: Option<&Arc<str>>, need: &ResourceVector) -> bool {
         let Some(spec) = organisation.and_then(|name| self.specs.get(name)) else { return true };
         may_start(&spec.cap, &self.usage(&spec.name).used, need)
     }
--- a/src/scheduler/displace.rs
+++ b/src/scheduler/preemption.rs
@@ -20,7 +20,7 @@
 
 /// Room that waiting services count on, by worker.
 #[derive(Debug, Default)]
-pub(crate) struct RoomPromises {
+pub(crate) struct CapacityClaims {
     promised: BTreeMap<Arc<str>, ResourceVector>,
     /// Room of runs that are being stopped; none where a stop is overdue. Gathered when it is first asked for.
     coming: Option<BTreeMap<Arc<str>, Option<ResourceVector>>>,
@@ -34,31 +34,31 @@
 
 impl Scheduler {
     /// Drops all promises.
-    pub(crate) fn clear_promises(&mut self) {
-        self.promises = RoomPromises::default();
+    pub(crate) fn clear_claims(&mut self) {
+        self.claims = CapacityClaims::default();
     }
 
     /// What is free on a worker and promised to nobody.
-    pub(crate) fn unpromised(&self, id: &Arc<str>, worker: &WorkerRun) -> ResourceVector {
+    pub(crate) fn unclaimed(&self, id: &Arc<str>, worker: &WorkerRun) -> ResourceVector {
         let free = worker.free();
-        let Some(promised) = self.promises.promised.get(id) else { return free };
-        let coming = self.promises.coming.as_ref().and_then(|coming| coming.get(id).copied()?);
+        let Some(promised) = self.claims.promised.get(id) else { return free };
+        let coming = self.claims.coming.as_ref().and_then(|coming| coming.get(id).copied()?);
         free.less(&promised.less(&coming.unwrap_or_default()))
     }
 
     /// Finds a worker on which a service task gets room once what is stopped there has ended, and stops what must be
     /// displaced for it beside that; nothing if none would help.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_for(
         &mut self,
         service: &str,
         query: &PlaceQuery<'_>,
         rank: JobRank,
         now: u64,
     ) -> Option<Arc<str>> {
-        if self.promises.coming.is_none() {
+        if self.claims.coming.is_none() {
             let coming =
                 self.workers.iter().map(|(id, worker)| (id.clone(), self.coming(worker, now)));
-            self.promises.coming = Some(coming.collect());
+            self.claims.coming = Some(coming.collect());
         }
         let mut best: Option<(Displacement, Arc<str>)> = None;
         for (id, worker) in &self.workers {
@@ -69,7 +69,7 @@
                 continue;
             }
             // Left out for another reason than room: nothing that is stopped there would help.
-            if self.unpromised(id, worker).holds(&query.spec.booked()) {
+            if self.unclaimed(id, worker).holds(&query.spec.booked()) {
                 continue;
             }
             let Some(room) = self.promisable(id, worker) else { continue };
@@ -83,15 +83,15 @@
             self.stop_run(key, *run, "displaced by a service", now);
         }
         let coming = self.workers.get(&id).and_then(|worker| self.coming(worker, now));
-        if let Some(known) = &mut self.promises.coming {
+        if let Some(known) = &mut self.claims.coming {
             known.insert(id.clone(), coming);
         }
-        self.promises.promised.entry(id.clone()).or_default().add(&query.spec.booked());
+        self.claims.promised.entry(id.clone()).or_default().add(&query.spec.booked());
         Some(id)
     }
 
     /// Whether a worker has room for a service task, or would if other tasks were displaced.
-    pub(crate) fn can_make_room(
+    pub(crate) fn may_preempt_for(
         &self,
         worker: &WorkerRun,
         spec: &StepSpec,
@@ -111,7 +111,7 @@
             if live.phase != RunPhase::Stopping {
                 continue;
             }
-            if now > live.since_ms + STOP_WAIT_MAX_MS {
+            if now > live.phase_since_ms + STOP_WAIT_MAX_MS {
                 return None;
             }
             coming.add(&booked.need);
@@ -121,10 +121,10 @@
 
     /// What is free on a worker or will be soon, and promised to nobody; nothing where a stop is overdue.
     fn promisable(&self, id: &Arc<str>, worker: &WorkerRun) -> Option<ResourceVector> {
-        let coming = self.promises.coming.as_ref()?.get(id).copied()??;
+        let coming = self.claims.coming.as_ref()?.get(id).copied()??;
         let mut room = worker.free();
         room.add(&coming);
-        Some(room.less(&self.promises.promised.get(id).copied().unwrap_or_default()))
+        Some(room.less(&self.claims.promised.get(id).copied().unwrap_or_default()))
     }
 
     /// What must be displaced on a worker with so much room to come, the least work first.
--- a/src/scheduler/rank.rs
+++ b/src/scheduler/rank.rs
@@ -25,7 +25,7 @@
     /// Can meet the objective.
     InTime,
     /// Could, and came beyond its organisation's share.
-    Beyond,
+    BeyondShare,
     /// Late, and still worth something.
     Late,
     /// Far too late.
@@ -59,7 +59,7 @@
 /// else as expected of its queue.
 fn step_ms(spec: &StepSpec, run: Option<&StepRun>, model: &RuntimeModel) -> u64 {
     let shown = run.and_then(|run| median_runtime_ms(run, None));
-    shown.unwrap_or_else(|| model.expect(spec.estimate_ms))
+    shown.unwrap_or_else(|| model.expected_ms(spec.estimate_ms))
 }
 
 /// Time that a step has left, in milliseconds, of the `whole_ms` that its tasks take.
@@ -67,11 +67,12 @@
     if run.is_done() {
         return 0;
     }
-    let is_waiting = run.tasks.iter().any(|task| !task.is_done && !task.is_covered());
+    let is_waiting = run.tasks.iter().any(|task| !task.is_done && !task.has_live_run());
     if is_waiting {
         return whole_ms;
     }
-    let begun = run.tasks.iter().flat_map(|task| task.live.iter()).map(|live| live.since_ms).max();
+    let begun =
+        run.tasks.iter().flat_map(|task| task.live.iter()).map(|live| live.phase_since_ms).max();
     let elapsed = begun.map_or(0, |begun| now.saturating_sub(begun));
     // One that has outlived its time is taken to be nearly over.
     whole_ms.saturating_sub(elapsed).max(whole_ms / 10)
@@ -119,7 +120,7 @@
     let tier = if is_service {
         RankTier::Service
     } else if now + chain * HOPE_PERCENT / 100 <= objective {
-        if job.is_beyond_share { RankTier::Beyond } else { RankTier::InTime }
+        if job.is_beyond_share { RankTier::BeyondShare } else { RankTier::InTime }
     } else if now + chain <= worthless {
         RankTier::Late
     } else {
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -393,7 +393,7 @@
         }
         let queue = job.submission.queue.clone();
         let mean_ms = times.iter().sum::<u64>() / count;
-        self.runtimes.entry(queue).or_default().observe(declared_ms, mean_ms);
+        self.runtimes.entry(queue).or_default().record(declared_ms, mean_ms);
     }
 
     /// A run has failed: the task is tried again, or its job has failed.
@@ -436,7 +436,7 @@
         task.failures += 1;
         let wait = (SERVICE_BACKOFF_MS << steps).min(SERVICE_BACKOFF_MAX_MS);
         // One that was at work for a while has not failed in a row.
-        let was_at_work = now.saturating_sub(task.at_work_ms) < SERVICE_BACKOFF_MAX_MS;
+        let was_at_work = now.saturating_sub(task.last_serving_ms) < SERVICE_BACKOFF_MAX_MS;
         if was_at_work {
             task.failures = 0;
         }
@@ -510,7 +510,7 @@
         }
         let Some(live) = task.live.iter_mut().find(|live| live.run == run) else { return };
         let was_listed = std::mem::replace(&mut live.is_listed, true);
-        live.seen_ms = now;
+        live.last_listed_ms = now;
         let is_confirmed = match live.phase {
             RunPhase::Starting => true,
             RunPhase::Inherited => is_settled,
@@ -529,14 +529,14 @@
         live.percent = told.percent;
         let is_at_work = spec.is_service && told.percent >= 100;
         if is_at_work {
-            task.at_work_ms = now;
+            task.last_serving_ms = now;
             if !was_at_work {
                 task.failures = 0;
             }
         }
         let is_stopping = live.phase == RunPhase::Stopping;
         if is_over && is_stopping && !was_listed && live.begun_ms == 0 {
-            let (worker, since_ms) = (live.worker.clone(), now.saturating_sub(live.since_ms));
+            let (worker, since_ms) = (live.worker.clone(), now.saturating_sub(live.phase_since_ms));
             self.note(SchedulerNote::BegunOver { task: *key, run, worker, since_ms });
             return;
         }
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -55,7 +55,7 @@
         let organisation = job.submission.organisation.clone();
         let need = job.spec(key).map(|spec| spec.need).unwrap_or_default();
         for (worker, run) in runs {
-            self.organisations.book(organisation.as_ref(), &need);
+            self.organisations.add_run(organisation.as_ref(), &need);
             let entry = self
                 .workers
                 .entry(worker.clone())
@@ -77,7 +77,7 @@
             job.state = JobState::Running;
         }
         let need = job.spec(key).map(|spec| spec.need).unwrap_or_default();
-        self.organisations.book(job.submission.organisation.as_ref(), &need);
+        self.organisations.add_run(job.submission.organisation.as_ref(), &need);
         let whole_ms = self.bounds.cancel_ms;
         if let Some(entry) = self.workers.get_mut(worker) {
             // The lease that its start brings ends soon, and nothing was renewed while nothing was wanted there.
@@ -99,10 +99,10 @@
         let Some(position) = task.live.iter().position(|live| live.run == run) else { return };
         let live = task.live.remove(position);
         task.waiting_since_ms = now;
-        self.see_last(key, &live, now);
+        self.record_last_alive(key, &live, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
         let need = job.spec(key).map(|spec| spec.need).unwrap_or_default();
-        self.organisations.release(job.submission.organisation.as_ref(), &need);
+        self.organisations.remove_run(job.submission.organisation.as_ref(), &need);
         self.commits.mark(key.job);
         if let Some(worker) = self.workers.get_mut(&live.worker) {
             worker.release(&(*key, run), now);
@@ -161,7 +161,7 @@
             if now < live.retry_ms {
                 continue;
             }
-            let (id, phase, since_ms) = (live.worker.clone(), live.phase, live.since_ms);
+            let (id, phase, since_ms) = (live.worker.clone(), live.phase, live.phase_since_ms);
             let quiet_ms = live.retry_ms + stop_pause_ms(live.stops);
             let Some(worker) = self.workers.get(&id) else { continue };
             let is_silent = worker.silent_since_ms.is_some();
@@ -224,7 +224,7 @@
             RunPhase::Planned | RunPhase::Running | RunPhase::Inherited => return None,
         }
         let pool = self.workers.get(&id)?.entry.service.clone();
-        if !self.knows_rooms(&pool, now) || !self.knows_jobs(now) {
+        if !self.is_capacity_view_fresh(&pool, now) || !self.knows_jobs(now) {
             return None;
         }
         let worker = self.workers.get_mut(&id)?;
@@ -548,12 +548,14 @@
             for (occurrence, run) in &job.occurrences {
                 for (position, step) in run.steps.iter().enumerate() {
                     let is_gang = job.submission.spec.steps[position].is_gang;
-                    if !is_gang || step.is_done() || step.tasks.iter().all(|task| task.is_covered())
+                    if !is_gang
+                        || step.is_done()
+                        || step.tasks.iter().all(|task| task.has_live_run())
                     {
                         continue;
                     }
                     for (index, task) in step.tasks.iter().enumerate() {
-                        let is_old = |live: &LiveRun| now > live.since_ms + BROKEN_GANG_MS;
+                        let is_old = |live: &LiveRun| now > live.phase_since_ms + BROKEN_GANG_MS;
                         if task.live.iter().any(is_old) {
                             broken.push(job.key(*occurrence, position, index));
                         }
--- a/src/scheduler/runtime.rs
+++ b/src/scheduler/runtime.rs
@@ -24,7 +24,7 @@
 
 impl RuntimeModel {
     /// A step of tasks declared to take `declared_ms` took `taken_ms` on average.
-    pub fn observe(&mut self, declared_ms: u64, taken_ms: u64) {
+    pub fn record(&mut self, declared_ms: u64, taken_ms: u64) {
         let (declared, taken) = (real(declared_ms), real(taken_ms));
         if self.weight == 0.0 {
             self.assume(declared);
@@ -47,7 +47,7 @@
     }
 
     /// Time that tasks declared to take `declared_ms` are expected to take, in milliseconds.
-    pub fn expect(&self, declared_ms: u64) -> u64 {
+    pub fn expected_ms(&self, declared_ms: u64) -> u64 {
         if self.weight == 0.0 {
             return declared_ms;
         }
--- a/src/scheduler/share.rs
+++ b/src/scheduler/share.rs
@@ -25,14 +25,14 @@
 
 /// Arrivals by organisation, against their shares.
 #[derive(Debug, Default)]
-pub(crate) struct ShareBook {
+pub(crate) struct ShareLimiter {
     buckets: BTreeMap<Arc<str>, ShareBucket>,
 }
 
-impl ShareBook {
+impl ShareLimiter {
     /// A job of an organisation with a share of `weight` jobs a second has arrived; whether it is within that.
     /// Without a weight there is no share to go beyond.
-    pub fn arrive(&mut self, organisation: &Arc<str>, weight: f64, now: u64) -> bool {
+    pub fn try_admit(&mut self, organisation: &Arc<str>, weight: f64, now: u64) -> bool {
         let rate = parts_a_second(weight);
         if rate == 0 {
             return true;
--- a/src/scheduler/throttle.rs
+++ b/src/scheduler/throttle.rs
@@ -80,7 +80,7 @@
     }
 
     /// A throttle was answered, or not; the next report corrects one that was lost.
-    pub fn throttled(&mut self, call: &RunCall, is_done: bool) {
+    pub fn handle_throttle_outcome(&mut self, call: &RunCall, is_done: bool) {
         if is_done {
             return;
         }
--- a/src/scheduler/waits.rs
+++ b/src/scheduler/waits.rs
@@ -39,7 +39,7 @@
 
 impl Scheduler {
     /// Writes down which tasks of services are away for long, and why.
-    pub(crate) fn tell_waits(&mut self, now: u64) {
+    pub(crate) fn log_waits(&mut self, now: u64) {
         if now < self.waits.looked_ms + LOOK_GAP_MS {
             return;
         }
@@ -76,7 +76,7 @@
                         continue;
                     }
                     for (index, task) in step.tasks.iter().enumerate() {
-                        let away_ms = now.saturating_sub(task.at_work_ms.max(since_ms));
+                        let away_ms = now.saturating_sub(task.last_serving_ms.max(since_ms));
                         if !task.is_done && away_ms >= AWAY_MS {
                             away.push((job.key(*occurrence, position, index), away_ms));
                         }
@@ -98,7 +98,7 @@
         let job = self.jobs.get(&key.job)?;
         let (spec, task) = (job.spec(key)?, job.task(key)?);
         let (reason, since_ms) = match task.live.last() {
-            Some(live) => (self.live_reason(key, live, now), live.since_ms),
+            Some(live) => (self.live_reason(key, live, now), live.phase_since_ms),
             None => (self.place_reason(key, job, spec, task, now), task.waiting_since_ms),
         };
         Some(SchedulerNote::ServiceAway {
@@ -125,11 +125,11 @@
             RunPhase::Starting if live.open_tries > 0 => "its start is under way",
             RunPhase::Starting if !self.is_confirmed(now) => "the leadership is not confirmed",
             RunPhase::Starting if !self.knows_jobs(now) => "the job log is read too late",
-            RunPhase::Starting if !self.knows_rooms(&worker.entry.service, now) => {
+            RunPhase::Starting if !self.is_capacity_view_fresh(&worker.entry.service, now) => {
                 "rooms of workers are read too late"
             }
             RunPhase::Starting if live.is_in_doubt => "its start is in doubt",
-            RunPhase::Starting if !worker.may_start_now(&(*key, live.run), live.since_ms) => {
+            RunPhase::Starting if !worker.may_start_now(&(*key, live.run), live.phase_since_ms) => {
                 "its worker must answer before a probation"
             }
             RunPhase::Starting if now < live.retry_ms => "its start is sent again later",
@@ -173,7 +173,7 @@
         if !self.knows_jobs(now) {
             return "the job log is read too late";
         }
-        if !self.knows_rooms(service, now) {
+        if !self.is_capacity_view_fresh(service, now) {
             return "rooms of workers are read too late";
         }
         if !has_permits {
@@ -182,7 +182,7 @@
         if !self.has_start_room() {
             return "too many starts are under way";
         }
-        if !self.has_cap_room(key, &spec.need) {
+        if !self.may_start_under_cap(key, &spec.need) {
             return "the cap of its organisation";
         }
         if self.place_terms(key, service, spec, now).is_empty() {
--- a/standin/src/measure/decisions.rs
+++ b/standin/src/measure/decisions.rs
@@ -264,7 +264,7 @@
             let actions = self.call(|scheduler, now| {
                 scheduler.confirm(now);
                 scheduler.jobs_read(now);
-                scheduler.rooms_read(now);
+                scheduler.workers_read(now);
                 scheduler.tick(now, 1_000_000 + now);
                 scheduler.take_actions()
             });
--- a/tests/decision_cost.rs
+++ b/tests/decision_cost.rs
@@ -36,7 +36,7 @@
         let wall_ms = stage.now;
         stage.scheduler.confirm(stage.now);
         stage.scheduler.jobs_read(stage.now);
-        stage.scheduler.rooms_read(stage.now);
+        stage.scheduler.workers_read(stage.now);
         let begun = Instant::now();
         stage.scheduler.tick(stage.now, wall_ms);
         let spent = begun.elapsed();
--- a/tests/runtime_model.rs
+++ b/tests/runtime_model.rs
@@ -15,7 +15,7 @@
 /// Before anything was seen, declared times are all that there is.
 #[test]
 fn declared_times_hold_until_a_step_is_done() {
-    assert_eq!(RuntimeModel::default().expect(1_234), 1_234);
+    assert_eq!(RuntimeModel::default().expected_ms(1_234), 1_234);
 }
 
 /// Declared times that are right are followed, also far from those that were seen.
@@ -25,9 +25,9 @@
     let mut drawn = drawn();
     for _ in 0..100 {
         let declared = drawn.random_range(400..1_200);
-        model.observe(declared, declared);
+        model.record(declared, declared);
     }
-    let expected = model.expect(2_000);
+    let expected = model.expected_ms(2_000);
     assert!((1_900..=2_100).contains(&expected), "{expected}");
 }
 
@@ -37,10 +37,10 @@
     let mut model = RuntimeModel::default();
     let mut drawn = drawn();
     for _ in 0..200 {
-        model.observe(drawn.random_range(100..2_000), drawn.random_range(700..900));
+        model.record(drawn.random_range(100..2_000), drawn.random_range(700..900));
     }
     for declared in [100, 2_000] {
-        let expected = model.expect(declared);
+        let expected = model.expected_ms(declared);
         assert!((650..=950).contains(&expected), "{expected} for {declared}");
     }
 }
@@ -50,9 +50,9 @@
 fn equal_declarations_are_corrected_by_what_was_seen() {
     let mut model = RuntimeModel::default();
     for _ in 0..60 {
-        model.observe(500, 1_500);
+        model.record(500, 1_500);
     }
-    assert!(model.expect(500) > 1_300, "{}", model.expect(500));
+    assert!(model.expected_ms(500) > 1_300, "{}", model.expected_ms(500));
 }
 
 /// A queue asks for more than its pool holds. Its callers declare a tenth of the time that their tasks
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -79,13 +79,13 @@
 fn a_sudden_burst_shows_within_a_few_tenths_of_a_second() {
     let mut rate = ArrivalRate::default();
     for n in 0..30 {
-        rate.arrive(&job(vec![step(1)]), &RuntimeModel::default(), 5_000 + n * 100 / 8);
+        rate.record_arrival(&job(vec![step(1)]), &RuntimeModel::default(), 5_000 + n * 100 / 8);
     }
     let seen = rate.load(5_300).cpu;
     assert!(seen >= 48_000, "{seen} of 80000");
     // It does not stay above what arrives.
     for n in 30..120 {
-        rate.arrive(&job(vec![step(1)]), &RuntimeModel::default(), 5_000 + n * 100 / 8);
+        rate.record_arrival(&job(vec![step(1)]), &RuntimeModel::default(), 5_000 + n * 100 / 8);
     }
     let steady = rate.load(6_500).cpu;
     assert!((70_000..=92_000).contains(&steady), "{steady}");
@@ -97,7 +97,7 @@
 fn the_rate_of_arrival_is_forgotten_soon() {
     let mut rate = ArrivalRate::default();
     for n in 0..20 {
-        rate.arrive(&job(vec![step(4)]), &RuntimeModel::default(), 1_000 + n * 50);
+        rate.record_arrival(&job(vec![step(4)]), &RuntimeModel::default(), 1_000 + n * 50);
     }
     let steady = rate.load(2_000).cpu;
     assert!((60_000..=90_000).contains(&steady), "{steady}");
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -435,7 +435,7 @@
                 leader.scheduler.depose();
                 return;
             }
-            leader.scheduler.rooms_read(now);
+            leader.scheduler.workers_read(now);
             leader.scheduler.jobs_read(now);
             if now >= leader.renew_ms {
                 leader.renew_ms = now + RENEWAL_MS;
@@ -463,7 +463,7 @@
                     }
                 }
                 SchedulerAction::Throttle(_, call, _) => {
-                    self.with(term, |scheduler, _| scheduler.throttled(&call, true));
+                    self.with(term, |scheduler, _| scheduler.handle_throttle_outcome(&call, true));
                 }
                 SchedulerAction::Note(_)
                 | SchedulerAction::Wake(_)
--- a/tests/support/cancel_leader.rs
+++ b/tests/support/cancel_leader.rs
@@ -141,7 +141,7 @@
         let node = self.node(life);
         let (now, wall_ms) = (node.now(), WALL_OFFSET_MS + self.now);
         let turn = node.with_scheduler(|scheduler| {
-            scheduler.rooms_read(now);
+            scheduler.workers_read(now);
             scheduler.tick(now, wall_ms);
             (scheduler.take_actions(), scheduler.is_deposed())
         });
--- a/tests/support/stage.rs
+++ b/tests/support/stage.rs
@@ -229,7 +229,7 @@
             self.expire_leases();
             self.scheduler.confirm(self.now);
             if self.reads_workers {
-                self.scheduler.rooms_read(self.now);
+                self.scheduler.workers_read(self.now);
             }
             if self.reads_jobs {
                 self.scheduler.jobs_read(self.now);
@@ -448,7 +448,7 @@
             SchedulerAction::Stop(target, call) => self.stop(&target.id, &call),
             SchedulerAction::Throttle(_, call, percent) => {
                 self.throttles.push((call.task, percent));
-                self.scheduler.throttled(&call, !self.loses_throttles);
+                self.scheduler.handle_throttle_outcome(&call, !self.loses_throttles);
             }
             SchedulerAction::CommandVm(command, _) => {
                 self.vm_commands.push(command.clone());
