--- a/src/jobs/desk.rs
+++ b/src/jobs/caller_service.rs
@@ -12,7 +12,7 @@
 use crate::jobs::model::{JobId, JobSpec, JobState, JobSubmission};
 use crate::jobs::node::JobNode;
 use crate::jobs::ports::JobLog;
-use crate::jobs::question::{JobAnswer, JobQuestion, QuestionClient};
+use crate::jobs::query::{JobAnswer, JobQuery, QueryClient};
 use crate::jobs::record::JobRecord;
 use crate::jobs::relay::{KnownJob, RelayClient};
 use crate::jobs::site::QueueSpec;
@@ -28,7 +28,7 @@
 
 /// What an entry answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeskReply {
+pub enum CallerReply {
     /// The job is stored, or its cancellation is.
     Stored,
     /// The job's state.
@@ -43,7 +43,7 @@
 
 /// Answers callers.
 #[derive(Clone)]
-pub struct JobDesk<L> {
+pub struct CallerService<L> {
     /// Shared state.
     pub node: Arc<JobNode>,
     /// Reads the log for jobs that this entry does not know; another may have accepted them a moment
@@ -54,17 +54,17 @@
     /// Reaches the leader, whose book tells of jobs where the log is silent here.
     pub relay: RelayClient,
     /// Asks entries with a copy of the job log where this one has none.
-    pub questions: QuestionClient,
+    pub queries: QueryClient,
 }
 
-impl<L: JobLog> JobDesk<L> {
+impl<L: JobLog> CallerService<L> {
     /// The queue that a request belongs to.
     ///
     /// # Errors
     /// `NotReady` before a configuration was read, `UnknownService` if no queue has this host and
     /// path.
-    pub fn queue(&self, host: &str, path: &str) -> Result<QueueSpec, DeskReply> {
-        let refused = |code, wait| DeskReply::Refused(code, wait);
+    pub fn queue(&self, host: &str, path: &str) -> Result<QueueSpec, CallerReply> {
+        let refused = |code, wait| CallerReply::Refused(code, wait);
         let Some(config) = self.node.config() else {
             return Err(refused(ResultCode::NotReady, Some(OUTAGE_RETRY)));
         };
@@ -77,7 +77,7 @@
     /// # Errors
     /// `NoApiKey` or `UnknownApiKey`; `KeyUnconfirmed` while this entry can't tell whether its configuration is
     /// the newest: another entry may.
-    pub fn admit(&self, queue: &QueueSpec, key: PresentedKey) -> Result<CallerAccess, DeskReply> {
+    pub fn admit(&self, queue: &QueueSpec, key: PresentedKey) -> Result<CallerAccess, CallerReply> {
         if queue.is_open || !self.needs_keys() {
             return Ok(CallerAccess::default());
         }
@@ -91,7 +91,7 @@
         self.node.config().is_some_and(|config| config.access.is_some())
     }
 
-    fn not_admitted(&self, refusal: AccessRefusal) -> DeskReply {
+    fn not_admitted(&self, refusal: AccessRefusal) -> CallerReply {
         let (code, wait) = match refusal {
             AccessRefusal::NoKey => (ResultCode::NoApiKey, None),
             AccessRefusal::UnknownKey => (ResultCode::UnknownApiKey, None),
@@ -99,7 +99,7 @@
         };
         info!(self.node.logger, "a caller is not let in"; "code" => code.number(),
             "name" => code.name(), "view_age_ms" => self.node.config_age_ms());
-        DeskReply::Refused(code, wait)
+        CallerReply::Refused(code, wait)
     }
 
     /// Stores a job; the same id again is the same job.
@@ -110,12 +110,12 @@
         job: JobId,
         spec: JobSpec,
         patience: Duration,
-    ) -> DeskReply {
+    ) -> CallerReply {
         let logger = self.node.logger.clone();
         if let Err(fault) = spec.check() {
             info!(logger, "job refused"; "job" => %job, "fault" => ?fault,
                 "code" => ResultCode::BadJob.number());
-            return DeskReply::Refused(ResultCode::BadJob, None);
+            return CallerReply::Refused(ResultCode::BadJob, None);
         }
         if let Some(known) = KnownJob::find(&self.node, job) {
             info!(logger, "job known already"; "job" => %job);
@@ -129,7 +129,7 @@
             service: queue.service.clone(),
             accepted_ms: self.node.clock.wall_ms(),
             spec,
-            tasks_kept: 0,
+            kept_task_count: 0,
             organisation: caller.organisation.clone(),
         };
         let record = JobRecord::Submitted(job, Arc::new(submission));
@@ -137,7 +137,7 @@
         if bytes > self.node.settings.record_bytes_max {
             info!(logger, "job refused"; "job" => %job, "bytes" => bytes,
                 "code" => ResultCode::BodyTooLarge.number());
-            return DeskReply::Refused(ResultCode::BodyTooLarge, None);
+            return CallerReply::Refused(ResultCode::BodyTooLarge, None);
         }
         let begun = Instant::now();
         let outcome = self.submitter.submit(record, deadline(queue, patience)).await;
@@ -150,21 +150,21 @@
 
     /// A job of this id is stored. Where jobs belong to organisations, this caller's may have come second; without a copy
     /// of the log the leader tells.
-    async fn stored(&self, caller: &CallerAccess, job: JobId) -> DeskReply {
+    async fn stored(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
         if !self.needs_keys() || !self.node.asks_replicas() {
             return stored_for(caller, KnownJob::find(&self.node, job).as_ref());
         }
         match self.relay.look(&self.node, job).await {
             Some(Some(known)) => stored_for(caller, Some(&known)),
-            Some(None) | None => DeskReply::Unknown(ResultCode::JobOutcomeUnknown),
+            Some(None) | None => CallerReply::Unknown(ResultCode::JobOutcomeUnknown),
         }
     }
 
     /// Tells a job's state.
-    pub async fn look(&self, caller: &CallerAccess, job: JobId) -> DeskReply {
+    pub async fn job_state(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
         match self.known(job).await {
             Ok(Some(known)) if !self.is_hidden(caller, job, &known) => {
-                DeskReply::State(known.state)
+                CallerReply::State(known.state)
             }
             Ok(_) => no_such_job(),
             Err(reply) => reply,
@@ -182,9 +182,9 @@
 
     /// A job by this entry's book; while the log turns this entry alone away its book stands still, and the
     /// leader's is asked.
-    async fn known(&self, job: JobId) -> Result<Option<KnownJob>, DeskReply> {
+    async fn known(&self, job: JobId) -> Result<Option<KnownJob>, CallerReply> {
         if self.node.asks_replicas() {
-            match self.questions.ask(&self.node, &JobQuestion::Job(job)).await {
+            match self.queries.ask(&self.node, &JobQuery::Job(job)).await {
                 Some(JobAnswer::Job(known)) => return Ok(known),
                 Some(JobAnswer::Stale(known)) => return Ok(Some(known)),
                 Some(JobAnswer::Waiting(_)) | None => return Err(self.not_read()),
@@ -217,14 +217,14 @@
         caller: &CallerAccess,
         job: JobId,
         patience: Duration,
-    ) -> DeskReply {
+    ) -> CallerReply {
         let begun = Instant::now();
         let known = self.known(job).await;
         let (record, what) = match &known {
             // Whether it would count for a job that is there can't be told where callers belong to organisations.
             Err(reply) if self.node.is_log_away() || self.needs_keys() => return *reply,
             Ok(Some(known)) if self.is_hidden(caller, job, known) => return no_such_job(),
-            Ok(Some(known)) if known.state.is_final() => return DeskReply::Stored,
+            Ok(Some(known)) if known.state.is_final() => return CallerReply::Stored,
             Ok(Some(_)) => (JobRecord::Cancelled(job), "cancellation"),
             Ok(None) => (tombstone(caller, job), "cancellation of no known job"),
             Err(_) => (tombstone(caller, job), "cancellation without a look at the job"),
@@ -239,30 +239,30 @@
     }
 
     /// Counts the jobs of a queue that wait for their first task, by whoever has a copy of the log.
-    pub async fn waiting(&self, queue: &QueueSpec) -> DeskReply {
+    pub async fn waiting_jobs(&self, queue: &QueueSpec) -> CallerReply {
         if !self.node.asks_replicas() {
-            return self.count(queue);
+            return self.own_waiting_jobs(queue);
         }
-        match self.questions.ask(&self.node, &JobQuestion::Waiting(queue.name.clone())).await {
-            Some(JobAnswer::Waiting(waiting)) => DeskReply::Waiting(waiting),
+        match self.queries.ask(&self.node, &JobQuery::Waiting(queue.name.clone())).await {
+            Some(JobAnswer::Waiting(waiting)) => CallerReply::Waiting(waiting),
             Some(JobAnswer::Job(_) | JobAnswer::Stale(_)) | None => self.not_read(),
         }
     }
 
     /// The same by this entry's own copy.
-    pub fn count(&self, queue: &QueueSpec) -> DeskReply {
+    pub fn own_waiting_jobs(&self, queue: &QueueSpec) -> CallerReply {
         if !self.node.is_current() {
             return self.not_read();
         }
-        DeskReply::Waiting(self.node.book().waiting(&queue.name))
+        CallerReply::Waiting(self.node.book().waiting_jobs(&queue.name))
     }
 
     /// Why the log could not be read to its end: it is away, or this entry is behind.
-    fn not_read(&self) -> DeskReply {
+    fn not_read(&self) -> CallerReply {
         if self.node.is_log_away() {
             return outage();
         }
-        DeskReply::Refused(ResultCode::BehindLog, Some(OUTAGE_RETRY))
+        CallerReply::Refused(ResultCode::BehindLog, Some(OUTAGE_RETRY))
     }
 }
 
@@ -279,18 +279,18 @@
 
 /// The job of this id is stored; a caller of another organisation than its own has not handed it in, and nothing
 /// of what it asked for will run.
-fn stored_for(caller: &CallerAccess, known: Option<&KnownJob>) -> DeskReply {
+fn stored_for(caller: &CallerAccess, known: Option<&KnownJob>) -> CallerReply {
     match known.is_none_or(|known| caller.may_see(known.organisation.as_ref())) {
-        true => DeskReply::Stored,
-        false => DeskReply::Refused(ResultCode::JobIdTaken, None),
+        true => CallerReply::Stored,
+        false => CallerReply::Refused(ResultCode::JobIdTaken, None),
     }
 }
 
-fn reply(outcome: SubmitOutcome) -> DeskReply {
+fn reply(outcome: SubmitOutcome) -> CallerReply {
     match outcome {
-        SubmitOutcome::Stored => DeskReply::Stored,
+        SubmitOutcome::Stored => CallerReply::Stored,
         SubmitOutcome::Refused => outage(),
-        SubmitOutcome::Unknown => DeskReply::Unknown(ResultCode::JobOutcomeUnknown),
+        SubmitOutcome::Unknown => CallerReply::Unknown(ResultCode::JobOutcomeUnknown),
     }
 }
 
@@ -300,12 +300,12 @@
     JobRecord::CancelledBy(job, CallerMark::of(caller.organisation.as_ref()))
 }
 
-fn outage() -> DeskReply {
-    DeskReply::Refused(ResultCode::LogAway, Some(OUTAGE_RETRY))
+fn outage() -> CallerReply {
+    CallerReply::Refused(ResultCode::LogAway, Some(OUTAGE_RETRY))
 }
 
-fn no_such_job() -> DeskReply {
-    DeskReply::Refused(ResultCode::UnknownJob, None)
+fn no_such_job() -> CallerReply {
+    CallerReply::Refused(ResultCode::UnknownJob, None)
 }
 
 fn note(logger: &Logger, what: &'static str, job: JobId, outcome: SubmitOutcome, begun: Instant) {
--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -13,21 +13,21 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::decide::leadership::LeaderTrace;
+use crate::jobs::decision_log;
 use crate::jobs::delegate::StartDelegate;
 use crate::jobs::follower::{TailReader, TailStep, fold_step, shown_ms};
 use crate::jobs::lanes::{LaneCommand, WorkerLanes};
-use crate::jobs::load::{CommitTrace, LeaderLoad};
+use crate::jobs::leader_load::{LeaderLoad, PendingCommit};
 use crate::jobs::metrics::count;
 use crate::jobs::node::JobNode;
-use crate::jobs::notes;
-use crate::jobs::patience::PatienceGauge;
 use crate::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogTopic, PermitClient, VmClient, VmStamp, WorkerClient,
     WriterStamp,
 };
 use crate::jobs::record::KeyedRecord;
 use crate::jobs::site::WorkerEntry;
-use crate::jobs::wave_teller::WaveTeller;
+use crate::jobs::timeout_estimator::TimeoutEstimator;
+use crate::jobs::wave_reporter::WaveReporter;
 use crate::scheduler::commit::CommitBatch;
 use crate::scheduler::fleet::list_rest_ms;
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerCensus, SchedulerStart};
@@ -109,7 +109,7 @@
         V: VmClient,
         P: PermitClient,
     {
-        let (teller, statuses) = WaveTeller::open(
+        let (teller, statuses) = WaveReporter::open(
             parts.log.clone(),
             parts.wave_encoder,
             node.logger.clone(),
@@ -121,7 +121,7 @@
             parts,
             term: term.number,
             sequence: Mutex::new(0),
-            patience: Mutex::new(PatienceGauge::new(APPEND_PATIENCE)),
+            patience: Mutex::new(TimeoutEstimator::new(APPEND_PATIENCE)),
             lanes,
             commit_wake: Notify::new(),
             commit_trace: Mutex::default(),
@@ -162,11 +162,11 @@
     parts: ConductorParts<L, W, V, P>,
     term: u64,
     sequence: Mutex<u64>,
-    patience: Mutex<PatienceGauge>,
+    patience: Mutex<TimeoutEstimator>,
     lanes: Arc<WorkerLanes<W>>,
     commit_wake: Notify,
     /// The commit that is under way.
-    commit_trace: Mutex<Option<CommitTrace>>,
+    commit_trace: Mutex<Option<PendingCommit>>,
     statuses: mpsc::UnboundedSender<(u64, bool)>,
     /// Commands to VMs that were not answered yet.
     vm_commands: Arc<AtomicUsize>,
@@ -183,7 +183,7 @@
 {
     async fn lead(
         self: Arc<Self>,
-        teller: WaveTeller<L>,
+        teller: WaveReporter<L>,
         delegate: StartDelegate,
         predecessor: Option<LeaderTrace>,
     ) {
@@ -258,11 +258,11 @@
         self.sequence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn patience(&self) -> MutexGuard<'_, PatienceGauge> {
+    fn patience(&self) -> MutexGuard<'_, TimeoutEstimator> {
         self.patience.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn commit_trace(&self) -> MutexGuard<'_, Option<CommitTrace>> {
+    fn commit_trace(&self) -> MutexGuard<'_, Option<PendingCommit>> {
         self.commit_trace.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -271,10 +271,10 @@
         let call =
             AppendCall { topic: LogTopic::Jobs, records, expected_end: None, stamp: Some(stamp) };
         let begun = Instant::now();
-        let patience = self.patience().patience();
+        let patience = self.patience().timeout();
         let outcome = self.parts.log.append(&call, patience).await;
         self.node.metrics.append_seconds.observe(begun.elapsed().as_secs_f64());
-        self.patience().learn(outcome, begun.elapsed());
+        self.patience().record_outcome(outcome, begun.elapsed());
         if matches!(outcome, AppendOutcome::Done { .. }) {
             self.node.touch();
         }
@@ -404,7 +404,7 @@
                 (scheduler.take_actions(), scheduler.is_deposed(), age_ms)
             });
             let Some((actions, is_deposed, age_ms)) = turn else { return };
-            load.unconfirmed(age_ms);
+            load.record_confirmation_age(age_ms);
             if is_deposed {
                 info!(self.node.logger, "a higher term was seen"; "term" => self.term);
                 return;
@@ -417,7 +417,7 @@
             let paused = Instant::now();
             sleep(TICK_GAP).await;
             let commit = *self.commit_trace();
-            load.woke(&self.node, paused.elapsed().saturating_sub(TICK_GAP), commit);
+            load.record_wake(&self.node, paused.elapsed().saturating_sub(TICK_GAP), commit);
             // No wake within the time is the usual case.
             let _ = timeout(TICK, self.node.wake.notified()).await;
         }
@@ -472,7 +472,7 @@
                     run.node.wake.notify_one();
                 });
             }
-            SchedulerAction::Note(note) => notes::write(&self.node, &note),
+            SchedulerAction::Note(note) => decision_log::write(&self.node, &note),
         }
     }
 
@@ -529,7 +529,7 @@
             return true;
         }
         let sent_ms = self.node.now();
-        let mut trace = CommitTrace { bytes: batch.bytes(), begun_ms: sent_ms, tries: 0 };
+        let mut trace = PendingCommit { bytes: batch.bytes(), begun_ms: sent_ms, tries: 0 };
         loop {
             trace.tries += 1;
             *self.commit_trace() = Some(trace);
@@ -555,7 +555,7 @@
     }
 
     /// Tells of a commit that takes long.
-    fn tell_commit(&self, batch: &CommitBatch, trace: CommitTrace) {
+    fn tell_commit(&self, batch: &CommitBatch, trace: PendingCommit) {
         let age_ms = self.node.now().saturating_sub(trace.begun_ms);
         if age_ms < LONG_COMMIT_MS {
             return;
--- a/src/jobs/confirm.rs
+++ b/src/jobs/confirm.rs
@@ -27,9 +27,9 @@
 use crate::transport::{HttpCall, HttpTransport};
 
 /// Path of a question.
-pub const VIEW_PATH: &str = "/view";
+pub const CONFIRM_PATH: &str = "/view";
 /// Largest question, in bytes.
-pub const QUESTION_BYTES_MAX: usize = 64;
+pub const QUERY_BYTES_MAX: usize = 64;
 /// Part of the time for which a reading counts from which others are asked: one in so many. A reading that
 /// waits for news is answered long before.
 const ASK_PART: u64 = 3;
@@ -46,14 +46,14 @@
 
 /// What an entry asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ViewQuestion {
+pub struct ConfirmQuery {
     /// Version of the configuration that it has.
     pub version: u64,
 }
 
 /// What another one answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ViewAnswer {
+pub struct ConfirmAnswer {
     /// Time since the start of the newest reading that showed its configuration to be the newest, in
     /// milliseconds; nothing if there was none.
     pub age_ms: Option<u64>,
@@ -67,7 +67,7 @@
 
 /// Answers a question; nothing if it can't be read.
 pub fn answer(node: &JobNode, body: &[u8]) -> Option<Vec<u8>> {
-    let question: ViewQuestion = postcard::from_bytes(body).ok()?;
+    let question: ConfirmQuery = postcard::from_bytes(body).ok()?;
     // The age before the configuration: what the reading has shown is in force by then.
     let age_ms = node.config_age_ms();
     let config = node.config().filter(|config| config.version > question.version);
@@ -78,11 +78,11 @@
         false => node.peers().iter().copied().take(PEERS_MAX).collect(),
     };
     let config = config.map(|config| (*config).clone());
-    postcard::to_stdvec(&ViewAnswer { age_ms, config, leader, peers }).ok()
+    postcard::to_stdvec(&ConfirmAnswer { age_ms, config, leader, peers }).ok()
 }
 
 /// Takes an answer to a question that was sent at `asked_ms`.
-pub fn take(node: &JobNode, answer: ViewAnswer, asked_ms: u64) {
+pub fn apply_answer(node: &JobNode, answer: ConfirmAnswer, asked_ms: u64) {
     let version = answer.config.as_ref().map(|config| config.version);
     if answer.config.is_some_and(|config| node.set_config(config)) {
         info!(node.logger, "configuration in force"; "version" => version, "from" => "another entry");
@@ -105,7 +105,7 @@
 }
 
 /// Asks while it is needed.
-pub struct ViewLoop {
+pub struct ConfirmLoop {
     /// Shared state.
     pub node: Arc<JobNode>,
     /// Reaches other entries.
@@ -113,10 +113,10 @@
     /// Whom to ask next.
     pub turn: usize,
     /// When others were last asked for whom to ask, in milliseconds.
-    pub met_ms: Option<u64>,
+    pub peers_asked_ms: Option<u64>,
 }
 
-impl ControlLoop for ViewLoop {
+impl ControlLoop for ConfirmLoop {
     const NAME: &'static str = "view";
 
     async fn step(&mut self) -> Duration {
@@ -128,33 +128,33 @@
         let age = self.node.config_age_ms();
         let is_old = age.is_none_or(|age| age > rule.bound_ms / ASK_PART);
         let meet_gap = if self.node.peers().is_empty() { FIRST_MEET_GAP_MS } else { MEET_GAP_MS };
-        let is_due = self.met_ms.is_none_or(|met| now >= met + meet_gap);
+        let is_due = self.peers_asked_ms.is_none_or(|met| now >= met + meet_gap);
         if rule.is_strict && (is_old || is_due) {
-            self.met_ms = Some(now);
+            self.peers_asked_ms = Some(now);
             self.ask(config.version, is_old).await;
         }
         LOOK_GAP
     }
 }
 
-impl ViewLoop {
+impl ConfirmLoop {
     async fn ask(&mut self, version: u64, is_old: bool) {
         let Some(target) = self.target(is_old) else { return };
         let asked_ms = self.node.now();
-        let body = postcard::to_stdvec(&ViewQuestion { version }).unwrap_or_default();
+        let body = postcard::to_stdvec(&ConfirmQuery { version }).unwrap_or_default();
         let call = HttpCall {
             method: Method::POST,
-            path: VIEW_PATH.to_owned(),
+            path: CONFIRM_PATH.to_owned(),
             headers: HeaderMap::new(),
             body: Bytes::from(body),
         };
         let answer = self.transport.exchange(target, call, ASK_PATIENCE).await.ok();
         let answer = answer.filter(|answer| answer.status == StatusCode::OK);
-        let answer: Option<ViewAnswer> =
+        let answer: Option<ConfirmAnswer> =
             answer.and_then(|answer| postcard::from_bytes(&answer.body).ok());
         let before = self.node.shown_ms();
         if let Some(answer) = answer {
-            take(&self.node, answer, asked_ms);
+            apply_answer(&self.node, answer, asked_ms);
         }
         let is_newer = self.node.shown_ms() > before;
         if is_old {
--- a/src/jobs/notes.rs
+++ b/src/jobs/decision_log.rs
@@ -45,7 +45,7 @@
             count(&node.metrics.service_waits, reason);
             info!(logger, "a service task is away"; "job" => %task.job, "task" => %task,
                 "run" => run, "worker" => worker.as_deref(), "reason" => reason,
-                "away_ms" => away_ms, "waits_ms" => waits_ms, "open_tries" => open_tries, "workers_lost" => losses.all,
+                "away_ms" => away_ms, "waits_ms" => waits_ms, "open_tries" => open_tries, "workers_lost" => losses.total,
                 "lost_at_start" => losses.at_start, "all_away" => all);
         }
         SchedulerNote::OnTrial { task, lost } => {
--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -29,7 +29,7 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::node::JobNode;
 use crate::jobs::ports::{
-    CommandOutcome, CommandRefusal, StartCall, WorkerClient, WorkerTarget, start_word,
+    CommandOutcome, CommandRefusal, StartCall, WorkerClient, WorkerTarget, start_label,
 };
 use crate::transport::{ExchangeFailure, HttpCall, HttpTransport};
 
@@ -247,7 +247,7 @@
                 continue;
             }
         };
-        count(&node.metrics.starts, start_word(&outcome));
+        count(&node.metrics.starts, start_label(&outcome));
         node.with_scheduler(|scheduler| {
             scheduler.handle_start_outcome(worker, task, run, &outcome, now)
         });
@@ -282,7 +282,7 @@
         outcomes[position] = DelegatedOutcome::Unknown;
         calls.spawn(async move { (position, workers.start(&target, &call, START_PATIENCE).await) });
     }
-    node.metrics.delegated.inc_by(u64::try_from(calls.len()).unwrap_or(0));
+    node.metrics.delegated_starts.inc_by(u64::try_from(calls.len()).unwrap_or(0));
     while let Some(ended) = calls.join_next().await {
         let Ok((position, outcome)) = ended else { continue };
         outcomes[position] = match outcome {
--- a/src/jobs/entry.rs
+++ b/src/jobs/entry.rs
@@ -15,21 +15,21 @@
 use crate::decide::leadership::{HolderId, LeadershipView, claim_delay_ms};
 use crate::decide::replica::ReplicaList;
 use crate::error::{CodeResult, ResultCode, coded};
+use crate::jobs::caller_service::CallerService;
 use crate::jobs::catch_up::CatchUpReader;
 use crate::jobs::conductor::ConductorParts;
-use crate::jobs::confirm::ViewLoop;
+use crate::jobs::confirm::ConfirmLoop;
 use crate::jobs::delegate::OfferLoop;
-use crate::jobs::desk::JobDesk;
 use crate::jobs::follower::{JobFollower, OperatorDecoder, OperatorFollower, TailReader};
 use crate::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
 use crate::jobs::metrics::JobMetrics;
 use crate::jobs::node::JobNode;
-use crate::jobs::patience::PatienceGauge;
 use crate::jobs::ports::{JobLog, LogTopic, PermitClient, VmClient, WorkerClient};
-use crate::jobs::question::QuestionClient;
+use crate::jobs::query::QueryClient;
 use crate::jobs::relay::{self, PeerService, RelayClient};
 use crate::jobs::site::SiteSettings;
 use crate::jobs::submitter;
+use crate::jobs::timeout_estimator::TimeoutEstimator;
 use crate::listener::{self, CallerConnections};
 use crate::transport::HttpTransport;
 
@@ -49,7 +49,7 @@
     fn serve(
         &self,
         stream: TcpStream,
-        desk: JobDesk<L>,
+        desk: CallerService<L>,
         watcher: Watcher,
     ) -> impl Future<Output = ()> + Send;
 
@@ -106,7 +106,7 @@
         let address = callers
             .local_addr()
             .map_err(|error| coded(ResultCode::BindFailed, error.to_string()))?;
-        let metrics = Arc::new(JobMetrics::metering(ports.transport.traffic().clone()));
+        let metrics = Arc::new(JobMetrics::with_traffic(ports.transport.traffic().clone()));
         let node = Arc::new(JobNode::new(settings, metrics, logger));
         let life = node.life;
         info!(node.logger, "starting"; "callers" => %address, "life" => format!("{life:x}"),
@@ -115,7 +115,7 @@
         let offers = ports.transport.clone();
         // Whether this entry keeps a copy of the job log is told by the leadership stream.
         node.set_replicas(&ReplicaList::default(), false);
-        let questions = QuestionClient::new(ports.transport.clone());
+        let queries = QueryClient::new(ports.transport.clone());
         let relay = RelayClient::new(ports.transport);
         let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), life);
         let reader = Arc::new(CatchUpReader::new(node.clone(), log));
@@ -124,7 +124,7 @@
             workers: ports.leader.workers.clone(),
             reader: reader.clone(),
         };
-        let desk = JobDesk { node: node.clone(), reader, submitter, relay, questions };
+        let desk = CallerService { node: node.clone(), reader, submitter, relay, queries };
         let connections = Arc::new(CallerConnections::open());
         let accepting = vec![
             tokio::spawn(accept_callers(callers, desk, ports.callers.clone(), connections.clone())),
@@ -179,7 +179,7 @@
 
 async fn accept_callers<L: JobLog, C: CallerProtocol<L>>(
     listener: TcpListener,
-    desk: JobDesk<L>,
+    desk: CallerService<L>,
     protocol: C,
     connections: Arc<CallerConnections>,
 ) {
@@ -255,7 +255,7 @@
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
-            patience: PatienceGauge::new(APPEND_PATIENCE),
+            patience: TimeoutEstimator::new(APPEND_PATIENCE),
             pending: None,
         }),
         SupervisedLoop::new(move || OfferLoop {
@@ -263,11 +263,11 @@
             transport: transport.clone(),
             offered_ms: None,
         }),
-        SupervisedLoop::new(move || ViewLoop {
+        SupervisedLoop::new(move || ConfirmLoop {
             node: views.0.clone(),
             transport: views.1.clone(),
             turn: 0,
-            met_ms: None,
+            peers_asked_ms: None,
         }),
     ]
 }
--- a/src/jobs/book.rs
+++ b/src/jobs/job_table.rs
@@ -12,7 +12,7 @@
 
 /// One job as the log tells it.
 #[derive(Clone, Debug, Default)]
-pub struct BookedJob {
+pub struct LoggedJob {
     /// The submission; a cancellation or progress can be read before it.
     pub submission: Option<Arc<JobSubmission>>,
     /// Whether a caller cancelled it that may.
@@ -22,16 +22,16 @@
     /// Newest progress.
     pub progress: Option<Arc<JobProgress>>,
     /// Since when this process knows that the job is over, in milliseconds.
-    pub over_ms: Option<u64>,
+    pub finished_ms: Option<u64>,
     progress_offset: u64,
     submission_offset: u64,
     cancelled_offset: u64,
 }
 
-impl BookedJob {
+impl LoggedJob {
     /// A job of which only the submission is known.
-    pub fn submitted(submission: Arc<JobSubmission>) -> BookedJob {
-        BookedJob { submission: Some(submission), ..BookedJob::default() }
+    pub fn submitted(submission: Arc<JobSubmission>) -> LoggedJob {
+        LoggedJob { submission: Some(submission), ..LoggedJob::default() }
     }
 
     /// Lets the cancellations count of callers that may see the job.
@@ -75,8 +75,8 @@
 
 /// Every job that the log still keeps.
 #[derive(Debug, Default)]
-pub struct JobBook {
-    jobs: HashMap<JobId, BookedJob>,
+pub struct JobTable {
+    jobs: HashMap<JobId, LoggedJob>,
     waiting: HashMap<Arc<str>, u64>,
     waves: HashMap<u64, Arc<BTreeSet<Arc<str>>>>,
     /// VMs that have lost their workers lately by pool, and the offset of that record.
@@ -85,19 +85,19 @@
     dropped: HashMap<JobId, u64>,
 }
 
-impl JobBook {
+impl JobTable {
     /// A job.
-    pub fn get(&self, job: JobId) -> Option<&BookedJob> {
+    pub fn get(&self, job: JobId) -> Option<&LoggedJob> {
         self.jobs.get(&job)
     }
 
     /// Every job.
-    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &BookedJob)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &LoggedJob)> {
         self.jobs.iter()
     }
 
     /// Jobs of a queue of which no task has started.
-    pub fn waiting(&self, queue: &str) -> u64 {
+    pub fn waiting_jobs(&self, queue: &str) -> u64 {
         self.waiting.get(queue).copied().unwrap_or(0)
     }
 
@@ -113,7 +113,11 @@
 
     /// Begins anew with the newest record of each key, read since the log ended at `end`: what they leave out was
     /// dropped, unless it was appended later. Returns those that tell something new.
-    pub fn renew(&mut self, newest: &[(u64, JobRecord)], end: u64) -> Vec<(u64, JobRecord)> {
+    pub fn apply_snapshot(
+        &mut self,
+        newest: &[(u64, JobRecord)],
+        end: u64,
+    ) -> Vec<(u64, JobRecord)> {
         let known: Vec<JobId> = self.jobs.keys().copied().collect();
         for job in known {
             self.forget_before(job, end);
@@ -123,11 +127,11 @@
     }
 
     /// Notes that what these records show as over was known by now.
-    pub fn note_over(&mut self, records: &[(u64, JobRecord)], now: u64) {
+    pub fn note_finished(&mut self, records: &[(u64, JobRecord)], now: u64) {
         for job in records.iter().filter_map(|(_, record)| record.job()) {
             let Some(entry) = self.jobs.get_mut(&job) else { continue };
             if entry.state().is_some_and(JobState::is_final) {
-                entry.over_ms.get_or_insert(now);
+                entry.finished_ms.get_or_insert(now);
             }
         }
     }
@@ -220,7 +224,7 @@
         &mut self,
         job: JobId,
         offset: u64,
-        edit: impl FnOnce(&mut BookedJob) -> bool,
+        edit: impl FnOnce(&mut LoggedJob) -> bool,
     ) -> bool {
         if self.dropped.get(&job).is_some_and(|dropped| offset < *dropped) {
             return false;
--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -24,7 +24,7 @@
 use crate::jobs::node::JobNode;
 use crate::jobs::ports::{
     CommandOutcome, RenewCall, RunCall, StartCall, WorkerClient, WorkerReport, WorkerTarget,
-    start_word,
+    start_label,
 };
 use crate::scheduler::renewals::RenewPlan;
 use crate::scheduler::runs::RunCommand;
@@ -388,7 +388,7 @@
     /// Sends a start; returns whether it was answered.
     async fn send_start(&self, target: &WorkerTarget, call: &StartCall) -> bool {
         let outcome = self.workers.start(target, call, COMMAND_PATIENCE).await;
-        count(&self.node.metrics.starts, start_word(&outcome));
+        count(&self.node.metrics.starts, start_label(&outcome));
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| {
             scheduler.handle_start_outcome(&target.id, &call.task, call.run, &outcome, now);
--- a/src/jobs/load.rs
+++ b/src/jobs/leader_load.rs
@@ -19,7 +19,7 @@
 
 /// A commit that the log has not confirmed yet.
 #[derive(Clone, Copy, Debug)]
-pub struct CommitTrace {
+pub struct PendingCommit {
     /// Bytes of its records.
     pub bytes: usize,
     /// When it was first sent, in milliseconds.
@@ -54,13 +54,13 @@
     }
 
     /// The leadership was last confirmed by an append that was sent so long ago.
-    pub fn unconfirmed(&mut self, age_ms: u64) {
+    pub fn record_confirmation_age(&mut self, age_ms: u64) {
         self.unconfirmed_ms = self.unconfirmed_ms.max(age_ms);
         self.unconfirmed_wakes += u32::from(age_ms >= CONFIRMATION_MS);
     }
 
     /// The leader's loop woke so much later than it had asked for, with this commit under way.
-    pub fn woke(&mut self, node: &JobNode, late: Duration, commit: Option<CommitTrace>) {
+    pub fn record_wake(&mut self, node: &JobNode, late: Duration, commit: Option<PendingCommit>) {
         self.wakes += 1;
         self.late += late;
         self.latest = self.latest.max(late);
--- a/src/jobs/leadership.rs
+++ b/src/jobs/leadership.rs
@@ -13,11 +13,11 @@
 use crate::decide::replica::ReplicaPlanner;
 use crate::jobs::conductor::{Conductor, ConductorParts, LeaderTerm};
 use crate::jobs::node::JobNode;
-use crate::jobs::patience::PatienceGauge;
 use crate::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogTopic, PermitClient, ReadOutcome, VmClient, WorkerClient,
 };
 use crate::jobs::record::KeyedRecord;
+use crate::jobs::timeout_estimator::TimeoutEstimator;
 
 /// Longest time for an append to be answered; a slow log takes 300 ms.
 pub const APPEND_PATIENCE: Duration = Duration::from_millis(600);
@@ -44,7 +44,7 @@
     /// Whether a claim or renewal had no answer: it may be done yet.
     pub is_in_doubt: bool,
     /// How long to wait for an append.
-    pub patience: PatienceGauge,
+    pub patience: TimeoutEstimator,
     /// A claim of ours that had no answer.
     pub pending: Option<PendingClaim>,
 }
@@ -181,7 +181,7 @@
             }
             LeadershipAct::Renew | LeadershipAct::Resign => self.view.replicas.clone(),
         };
-        let append_ms = self.patience.time().map_or(0, crate::clock::millis);
+        let append_ms = self.patience.response_time().map_or(0, crate::clock::millis);
         LeadershipRecord {
             replicas,
             append_ms,
@@ -202,8 +202,8 @@
             stamp: None,
         };
         let begun = Instant::now();
-        let outcome = self.parts.log.append(&call, self.patience.patience()).await;
-        self.patience.learn(outcome, begun.elapsed());
+        let outcome = self.parts.log.append(&call, self.patience.timeout()).await;
+        self.patience.record_outcome(outcome, begun.elapsed());
         outcome
     }
 
--- a/src/jobs/metrics.rs
+++ b/src/jobs/metrics.rs
@@ -83,7 +83,7 @@
     /// Commands to workers that may be under way, where this entry leads.
     pub command_window: Gauge,
     /// Starts that this entry carried out for the leader.
-    pub delegated: Counter,
+    pub delegated_starts: Counter,
     /// Entries that take starts, where this entry leads.
     pub executors: Gauge,
     /// Calls to the VM service that failed, by kind.
@@ -145,7 +145,7 @@
             renewals: Counter::default(),
             late_answers: Counter::default(),
             command_window: Gauge::default(),
-            delegated: Counter::default(),
+            delegated_starts: Counter::default(),
             executors: Gauge::default(),
             vm_calls: Family::default(),
             append_seconds: seconds(),
@@ -170,12 +170,12 @@
 
 impl JobMetrics {
     /// Metrics that tell what `traffic` counts.
-    pub fn metering(traffic: TrafficMeter) -> JobMetrics {
+    pub fn with_traffic(traffic: TrafficMeter) -> JobMetrics {
         JobMetrics { traffic, ..JobMetrics::default() }
     }
 
     /// Brings the counters of calls up to date.
-    pub fn measure_traffic(&self) {
+    pub fn update_traffic(&self) {
         for (call, traffic) in self.traffic.totals() {
             let label = CallLabel { call };
             let counters = [
@@ -230,7 +230,7 @@
         let help = "commands to workers that may be under way, at the leader";
         registry.register("command_window", help, self.command_window.clone());
         let help = "starts that this entry carried out for the leader";
-        registry.register("delegated_starts", help, self.delegated.clone());
+        registry.register("delegated_starts", help, self.delegated_starts.clone());
         let help = "entries that take starts, at the leader";
         registry.register("executors", help, self.executors.clone());
         registry.register("vm_calls", "failed calls to the VM service", self.vm_calls.clone());
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,32 +1,32 @@
 //! Jobs: accepted from callers, kept on the log, scheduled on workers by the leader.
 //!
-//! Every entry accepts jobs. A bounded number of entries keeps a copy of the log ([`book`]) and answers from it; the
-//! others ask these ([`question`]). One entry
+//! Every entry accepts jobs. A bounded number of entries keeps a copy of the log ([`job_table`]) and answers from it; the
+//! others ask these ([`query`]). One entry
 //! leads at a time ([`leadership`]) and runs the [`crate::scheduler`] against the outside
 //! ([`conductor`]). What the outside looks like is behind the traits of [`ports`].
 
-pub mod book;
+pub mod caller_service;
 pub mod catch_up;
 pub mod conductor;
 pub mod confirm;
+pub mod decision_log;
 pub mod delegate;
-pub mod desk;
 pub mod entry;
 pub mod flow;
 pub mod follower;
+pub mod job_table;
 pub mod lanes;
+pub mod leader_load;
 pub mod leadership;
-pub mod load;
 pub mod metrics;
 pub mod model;
 pub mod node;
-pub mod notes;
-pub mod patience;
 pub mod ports;
-pub mod question;
+pub mod query;
 pub mod record;
 pub mod relay;
 pub mod site;
 pub mod status;
 pub mod submitter;
-pub mod wave_teller;
+pub mod timeout_estimator;
+pub mod wave_reporter;
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -114,7 +114,7 @@
 
 impl ResourceVector {
     /// Whether `other` fits into this.
-    pub fn holds(&self, other: &ResourceVector) -> bool {
+    pub fn covers(&self, other: &ResourceVector) -> bool {
         self.cpu >= other.cpu
             && self.memory >= other.memory
             && self.accelerators >= other.accelerators
@@ -128,7 +128,7 @@
     }
 
     /// What is left when an amount is taken, nothing below zero.
-    pub fn less(&self, other: &ResourceVector) -> ResourceVector {
+    pub fn saturating_sub(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu.saturating_sub(other.cpu),
             memory: self.memory.saturating_sub(other.memory),
@@ -146,7 +146,7 @@
     }
 
     /// A hundredth of the amount.
-    pub fn percent(&self) -> ResourceVector {
+    pub fn hundredth(&self) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu / 100,
             memory: self.memory / 100,
@@ -155,7 +155,7 @@
     }
 
     /// Of each resource the larger amount.
-    pub fn most(&self, other: &ResourceVector) -> ResourceVector {
+    pub fn component_max(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu.max(other.cpu),
             memory: self.memory.max(other.memory),
@@ -164,7 +164,7 @@
     }
 
     /// The largest share of `room` that this takes in any resource, in thousandths.
-    pub fn share_of(&self, room: &ResourceVector) -> u64 {
+    pub fn dominant_share_of(&self, room: &ResourceVector) -> u64 {
         let part = |own: u64, all: u64| match (own, all) {
             (0, _) => 0,
             (_, 0) => u64::MAX / 2,
@@ -215,7 +215,7 @@
 
 impl StepSpec {
     /// What a task counts against a worker's capacity.
-    pub fn booked(&self) -> ResourceVector {
+    pub fn reservation(&self) -> ResourceVector {
         match self.is_best_effort {
             true => ResourceVector { cpu: 0, ..self.need },
             false => self.need,
@@ -269,7 +269,7 @@
         if self.payload.len() > PAYLOAD_BYTES_MAX {
             return Err(SpecFault::Payload);
         }
-        if self.tasks() > TASKS_MAX || self.steps.iter().any(|step| step.count == 0) {
+        if self.task_count() > TASKS_MAX || self.steps.iter().any(|step| step.count == 0) {
             return Err(SpecFault::TaskCount);
         }
         for (position, step) in self.steps.iter().enumerate() {
@@ -289,7 +289,7 @@
     }
 
     /// Tasks of one occurrence.
-    pub fn tasks(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         let count = |step: &StepSpec| usize::try_from(step.count).unwrap_or(usize::MAX);
         self.steps.iter().map(count).fold(0, usize::saturating_add)
     }
@@ -318,7 +318,7 @@
     /// What it is; empty once the job is over.
     pub spec: JobSpec,
     /// Tasks of a job that is over, for operators; 0 while the spec tells.
-    pub tasks_kept: usize,
+    pub kept_task_count: usize,
     /// Organisation of the caller; none for a queue that is open to all.
     pub organisation: Option<Arc<str>>,
 }
@@ -327,12 +327,12 @@
     /// The same without its text and steps, for a job that is over.
     pub fn without_spec(&self) -> JobSubmission {
         let spec = JobSpec { payload: String::new(), steps: Vec::new(), schedule: None };
-        JobSubmission { spec, tasks_kept: self.tasks(), ..self.clone() }
+        JobSubmission { spec, kept_task_count: self.task_count(), ..self.clone() }
     }
 
     /// Tasks of one occurrence, also of a job that is over.
-    pub fn tasks(&self) -> usize {
-        if self.has_no_spec() { self.tasks_kept } else { self.spec.tasks() }
+    pub fn task_count(&self) -> usize {
+        if self.has_no_spec() { self.kept_task_count } else { self.spec.task_count() }
     }
 
     /// Whether it is what is kept of a job that is over: no caller's job has no step.
@@ -351,11 +351,11 @@
     /// It was told to stop.
     Stopped,
     /// Its lease ran out.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// It waited in vain for the rest of its gang.
-    Alone,
+    GangIncomplete,
 }
 
 /// What a caller may be told of a job.
--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -13,7 +13,7 @@
 use crate::decide::executor::{ExecutorOffer, ExecutorTable};
 use crate::decide::leadership::claim_delay_ms;
 use crate::decide::replica::{ReplicaList, ReplicaPlanner};
-use crate::jobs::book::JobBook;
+use crate::jobs::job_table::JobTable;
 use crate::jobs::metrics::JobMetrics;
 use crate::jobs::record::JobRecord;
 use crate::jobs::site::{MaintenanceWave, SiteConfig, SiteSettings};
@@ -70,7 +70,7 @@
     /// Other entries that can be asked how old their reading is.
     peers: ArcSwap<Vec<SocketAddr>>,
     turned_away_ms: AtomicU64,
-    book: Mutex<JobBook>,
+    book: Mutex<JobTable>,
     book_end: AtomicU64,
     /// Appends of our own beyond the book's end, by their offset, and their ends.
     own_ranges: Mutex<BTreeMap<u64, u64>>,
@@ -111,7 +111,7 @@
             shown_ms: AtomicU64::new(0),
             peers: ArcSwap::default(),
             turned_away_ms: AtomicU64::new(0),
-            book: Mutex::new(JobBook::default()),
+            book: Mutex::new(JobTable::default()),
             book_end: AtomicU64::new(0),
             own_ranges: Mutex::default(),
             own_ms: AtomicU64::new(0),
@@ -287,11 +287,11 @@
         self.current_ms.store(0, Ordering::Release);
         self.own_ms.store(0, Ordering::Release);
         self.own_ranges().clear();
-        *book = JobBook::default();
+        *book = JobTable::default();
     }
 
     /// The job book.
-    pub fn book(&self) -> MutexGuard<'_, JobBook> {
+    pub fn book(&self) -> MutexGuard<'_, JobTable> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -305,8 +305,8 @@
         if self.book_end() >= end {
             return;
         }
-        let new = book.renew(records, end);
-        book.note_over(&new, self.now());
+        let new = book.apply_snapshot(records, end);
+        book.note_finished(&new, self.now());
         self.reach(end);
         book.forget_drops(self.book_end());
         // Before anybody else finds the book as far: by that the view of the jobs counts as new.
@@ -326,7 +326,7 @@
         for (offset, record) in &new {
             book.fold(record, *offset);
         }
-        book.note_over(&new, self.now());
+        book.note_finished(&new, self.now());
         self.reach(next);
         book.forget_drops(self.book_end());
         // Before anybody else finds the book as far: by that the view of the jobs counts as new.
@@ -346,7 +346,7 @@
         for (offset, record) in &own {
             book.fold(record, *offset);
         }
-        book.note_over(&own, self.now());
+        book.note_finished(&own, self.now());
         self.own_ranges().insert(offset, end);
         let is_whole = self.reach(offset.min(self.book_end()));
         book.forget_drops(self.book_end());
@@ -400,7 +400,7 @@
             for (offset, record) in records {
                 book.fold(record, *offset);
             }
-            book.note_over(records, self.now());
+            book.note_finished(records, self.now());
         }
         self.tell_scheduler(records);
     }
@@ -598,7 +598,7 @@
         let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         let size = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         let metrics = &self.metrics;
-        metrics.measure_traffic();
+        metrics.update_traffic();
         metrics.log_age_ms.set(self.log_age_ms().map_or(-1, gauge));
         metrics.config_version.set(self.config().map_or(0, |config| gauge(config.version)));
         let census = self.with_scheduler(|scheduler| scheduler.census());
--- a/src/jobs/ports.rs
+++ b/src/jobs/ports.rs
@@ -161,7 +161,7 @@
     /// Fencing token.
     pub fence: u64,
     /// Exits up to this number may be forgotten.
-    pub exits_through: u64,
+    pub acked_exits: u64,
     /// New end of the leases on the worker's clock, in milliseconds; none to leave it.
     pub lease_until_ms: Option<u64>,
     /// Time to wait for an exit.
@@ -204,7 +204,7 @@
     /// Its steady clock, in milliseconds.
     pub clock_ms: u64,
     /// When the life that reports began, in milliseconds since the epoch, where workers tell.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// What runs.
     pub running: Vec<RunningTask>,
     /// What has ended and was not forgotten yet.
@@ -219,15 +219,15 @@
     /// The run number is not above one that ended or was stopped there.
     OldRun,
     /// The lease would have ended already.
-    LateLease,
+    LeaseExpired,
     /// It does not fit.
-    NoRoom,
+    NoCapacity,
     /// The permit is missing or not valid.
-    Permit,
+    InvalidPermit,
     /// The worker is not well and has done nothing.
     Unhealthy,
     /// Another life of a worker answers at the address.
-    WrongLife,
+    WrongIncarnation,
     /// The call is malformed in its eyes.
     Malformed,
 }
@@ -244,24 +244,24 @@
 }
 
 /// The word for what became of a start, in metrics.
-pub fn start_word(outcome: &CommandOutcome<u64>) -> &'static str {
+pub fn start_label(outcome: &CommandOutcome<u64>) -> &'static str {
     match outcome {
         CommandOutcome::Done(_) => "done",
-        CommandOutcome::Refused(refusal, _) => refusal_word(*refusal),
+        CommandOutcome::Refused(refusal, _) => refusal_label(*refusal),
         CommandOutcome::Unknown => "no_answer",
     }
 }
 
 /// The word for a refusal in logs and metrics.
-pub fn refusal_word(refusal: CommandRefusal) -> &'static str {
+pub fn refusal_label(refusal: CommandRefusal) -> &'static str {
     match refusal {
         CommandRefusal::Fenced => "fenced",
         CommandRefusal::OldRun => "old_run",
-        CommandRefusal::LateLease => "late_lease",
-        CommandRefusal::NoRoom => "no_room",
-        CommandRefusal::Permit => "permit",
+        CommandRefusal::LeaseExpired => "late_lease",
+        CommandRefusal::NoCapacity => "no_room",
+        CommandRefusal::InvalidPermit => "permit",
         CommandRefusal::Unhealthy => "unhealthy",
-        CommandRefusal::WrongLife => "wrong_life",
+        CommandRefusal::WrongIncarnation => "wrong_life",
         CommandRefusal::Malformed => "malformed",
     }
 }
@@ -299,13 +299,13 @@
 /// Time for which the answer to a renewal is read on after it was given up. A worker counts the exits
 /// that it has listed as known, whether anybody has read them; on a link that is choked they arrive
 /// seconds later, and a task whose end is on its way must not be started again.
-pub const LATE_ANSWER: Duration = Duration::from_secs(4);
+pub const LATE_ANSWER_GRACE: Duration = Duration::from_secs(4);
 
 /// The workers.
 pub trait WorkerClient: Clone + Send + Sync + 'static {
     /// Renews leases and asks what runs. After `patience` beyond the wait that was asked for the worker counts
     /// as silent, and no other call may rest on what was open to it; the answer is still taken when it comes
-    /// within [`LATE_ANSWER`] more.
+    /// within [`LATE_ANSWER_GRACE`] more.
     fn renew(
         &self,
         target: &WorkerTarget,
@@ -395,7 +395,7 @@
 
 /// Time for a command to a VM to be answered, in milliseconds; a slow service takes 50 times its usual
 /// few milliseconds. A successor counts on it: see [`crate::scheduler::VM_COMMAND_LIFE_MS`].
-pub const VM_PATIENCE_MS: u64 = 600;
+pub const VM_COMMAND_TIMEOUT_MS: u64 = 600;
 
 /// The platform's VMs.
 pub trait VmClient: Clone + Send + Sync + 'static {
@@ -403,7 +403,7 @@
     fn list(&self) -> impl Future<Output = Option<Vec<VmEntry>>> + Send;
 
     /// Commands a VM, if `may_send` still holds when the connection is open. Without an answer within
-    /// [`VM_PATIENCE_MS`] nothing of it is under way any more.
+    /// [`VM_COMMAND_TIMEOUT_MS`] nothing of it is under way any more.
     fn command(
         &self,
         command: &VmCommand,
--- a/src/jobs/question.rs
+++ b/src/jobs/query.rs
@@ -26,9 +26,9 @@
 use crate::transport::{HttpCall, HttpTransport};
 
 /// Path of a question.
-pub const QUESTION_PATH: &str = "/question";
+pub const QUERY_PATH: &str = "/question";
 /// Largest question, in bytes.
-pub const QUESTION_BYTES_MAX: usize = 4 << 10;
+pub const QUERY_BYTES_MAX: usize = 4 << 10;
 /// Time for one entry to answer: it may have to read the log first.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time for all entries that are asked one after the other: the caller has time left for another entry.
@@ -40,7 +40,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobQuestion {
+pub enum JobQuery {
     /// A job's state.
     Job(JobId),
     /// Jobs of a queue of which no task has started.
@@ -73,11 +73,11 @@
         return Err(StatusCode::MISDIRECTED_REQUEST);
     }
     match question {
-        JobQuestion::Waiting(queue) if node.is_current() => {
-            Ok(JobAnswer::Waiting(node.book().waiting(&queue)))
+        JobQuery::Waiting(queue) if node.is_current() => {
+            Ok(JobAnswer::Waiting(node.book().waiting_jobs(&queue)))
         }
-        JobQuestion::Waiting(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
-        JobQuestion::Job(job) => match KnownJob::find(node, job) {
+        JobQuery::Waiting(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
+        JobQuery::Job(job) => match KnownJob::find(node, job) {
             Some(known) if node.is_log_silent() && !known.state.is_final() => {
                 Ok(JobAnswer::Stale(known))
             }
@@ -90,21 +90,21 @@
 
 /// Puts questions to entries with a copy.
 #[derive(Clone)]
-pub struct QuestionClient {
+pub struct QueryClient {
     transport: HttpTransport,
     turn: Arc<AtomicUsize>,
     passed_over: Arc<Mutex<HashMap<SocketAddr, u64>>>,
 }
 
-impl QuestionClient {
+impl QueryClient {
     /// A client over this transport.
-    pub fn new(transport: HttpTransport) -> QuestionClient {
+    pub fn new(transport: HttpTransport) -> QueryClient {
         let turn = Arc::new(AtomicUsize::new(rand::random::<u16>().into()));
-        QuestionClient { transport, turn, passed_over: Arc::default() }
+        QueryClient { transport, turn, passed_over: Arc::default() }
     }
 
     /// Asks one entry after the other; nothing if none can tell.
-    pub async fn ask(&self, node: &JobNode, question: &JobQuestion) -> Option<JobAnswer> {
+    pub async fn ask(&self, node: &JobNode, question: &JobQuery) -> Option<JobAnswer> {
         let body = Bytes::from(postcard::to_stdvec(question).ok()?);
         let begun = Instant::now();
         let mut stale = None;
@@ -142,7 +142,7 @@
     }
 
     async fn ask_one(&self, address: SocketAddr, body: Bytes, left: Duration) -> Option<JobAnswer> {
-        let (path, headers) = (QUESTION_PATH.to_owned(), HeaderMap::new());
+        let (path, headers) = (QUERY_PATH.to_owned(), HeaderMap::new());
         let call = HttpCall { method: Method::POST, path, headers, body };
         let answer = self.transport.exchange(address, call, left).await.ok()?;
         let is_told = answer.status == StatusCode::OK;
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -44,7 +44,7 @@
     /// When it was learned of, in milliseconds since the epoch.
     pub lost_ms: u64,
     /// Tasks that ran there, of jobs that have lost a worker.
-    pub aboard: Vec<TaskKey>,
+    pub running_tasks: Vec<TaskKey>,
 }
 
 /// How far a job is, whole: each record replaces the one before.
@@ -65,24 +65,24 @@
     /// Workers that the tasks name.
     pub workers: Vec<Arc<str>>,
     /// Tasks that were set back. Records from before it was kept end here.
-    pub setbacks: Vec<TaskSetbacks>,
+    pub restarts: Vec<TaskRestarts>,
     /// When a run of each of these was last known to be alive, in milliseconds since the epoch; 0 for not known.
     /// Last, as earlier records end here.
-    pub seen_ms: Vec<u64>,
+    pub last_alive_ms: Vec<u64>,
 }
 
 /// Workers that were lost under a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossCount {
     /// All of them.
-    pub all: u32,
+    pub total: u32,
     /// Those that were lost while the task was just starting there.
     pub at_start: u32,
 }
 
 /// What bounds how often a task is started anew, beside its failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskSetbacks {
+pub struct TaskRestarts {
     /// Occurrence of the job.
     pub occurrence: u32,
     /// Step.
@@ -183,7 +183,7 @@
 
     /// The records that drop every key of a job. The submission goes last: a reader that sees only
     /// some of them must not take the job for one that has not begun.
-    pub fn drops(job: JobId) -> Vec<KeyedRecord> {
+    pub fn drop_records(job: JobId) -> Vec<KeyedRecord> {
         [CANCELLED, PROGRESS, SUBMITTED]
             .iter()
             .map(|prefix| KeyedRecord { key: format!("{prefix}{job}"), value: Vec::new() })
--- a/src/jobs/relay.rs
+++ b/src/jobs/relay.rs
@@ -29,12 +29,12 @@
 
 use crate::decide::append_room::CarryTime;
 use crate::jobs::catch_up::CatchUpReader;
-use crate::jobs::confirm::{self, QUESTION_BYTES_MAX, VIEW_PATH};
+use crate::jobs::confirm::{self, CONFIRM_PATH, QUERY_BYTES_MAX};
 use crate::jobs::delegate::{self, OFFER_PATH, STARTS_BYTES_MAX, STARTS_PATH};
 use crate::jobs::model::{JobId, JobState};
 use crate::jobs::node::JobNode;
 use crate::jobs::ports::{JobLog, WorkerClient};
-use crate::jobs::question::{self, QUESTION_PATH};
+use crate::jobs::query::{self, QUERY_PATH};
 use crate::jobs::record::{JobRecord, KeyedRecord};
 use crate::jobs::status;
 use crate::transport::{ExchangeFailure, HttpCall, HttpTransport};
@@ -323,14 +323,14 @@
             Ok(stored) => Response::new(RelayBody::Stored(stored)),
             Err(code) => bare(code),
         },
-        VIEW_PATH => match body(request, QUESTION_BYTES_MAX).await {
+        CONFIRM_PATH => match body(request, QUERY_BYTES_MAX).await {
             Ok(body) => {
                 confirm::answer(node, &body).map_or_else(|| bare(StatusCode::BAD_REQUEST), binary)
             }
             Err(code) => bare(code),
         },
-        QUESTION_PATH => match body(request, question::QUESTION_BYTES_MAX).await {
-            Ok(body) => match question::answer(node, reader, &body).await {
+        QUERY_PATH => match body(request, query::QUERY_BYTES_MAX).await {
+            Ok(body) => match query::answer(node, reader, &body).await {
                 Ok(told) => binary(postcard::to_stdvec(&told).unwrap_or_default()),
                 Err(code) => bare(code),
             },
--- a/src/jobs/site.rs
+++ b/src/jobs/site.rs
@@ -52,7 +52,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Whether its workers refuse what does not fit.
-    pub is_guarded: bool,
+    pub has_admission_check: bool,
     /// Whether its VMs are off and may be lent to other pools.
     pub is_standby: bool,
 }
@@ -114,15 +114,15 @@
 
 /// Id of one life of a worker: its name, and when it was born in milliseconds since the epoch, where workers may
 /// start again under their name and tell.
-pub fn life_id(name: &str, born_ms: Option<u64>) -> Arc<str> {
-    match born_ms {
+pub fn incarnation_id(name: &str, started_ms: Option<u64>) -> Arc<str> {
+    match started_ms {
         Some(born) => format!("{name}{LIFE_MARK}{born}").into(),
         None => name.into(),
     }
 }
 
 /// Name of the worker whose life this is, as the platform knows it.
-pub fn life_name(id: &str) -> &str {
+pub fn worker_name(id: &str) -> &str {
     id.rsplit_once(LIFE_MARK).map_or(id, |(name, _)| name)
 }
 
@@ -132,7 +132,7 @@
 /// One life of a worker as it reports itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Id of this life; see [`life_id`].
+    /// Id of this life; see [`incarnation_id`].
     pub id: Arc<str>,
     /// Pool that it serves.
     pub service: Arc<str>,
@@ -165,7 +165,7 @@
     /// On its way to another pool.
     Moving,
     /// Being maintained.
-    Maintained,
+    InMaintenance,
     /// Without power or gone.
     Down,
 }
@@ -229,7 +229,7 @@
     /// How many times as long a task takes away from its data or split over racks.
     pub remote_factor: f64,
     /// Time that a VM takes to be maintained, in milliseconds.
-    pub maintain_ms: u64,
+    pub maintenance_ms: u64,
     /// Whether the VM service refuses fencing tokens lower than one that it has seen.
     pub are_vms_fenced: bool,
     /// How soon a revoked key must be refused.
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::book::BookedJob;
+use crate::jobs::job_table::LoggedJob;
 use crate::jobs::model::{JobId, JobState};
 use crate::jobs::node::JobNode;
 use crate::scheduler::overview::LeaderOverview;
@@ -86,7 +86,7 @@
 pub fn entry_status(node: &JobNode) -> EntryStatus {
     let config = node.config();
     let now = node.now();
-    let waiting = |name: &str| node.book().waiting(name);
+    let waiting = |name: &str| node.book().waiting_jobs(name);
     let queues = config.iter().flat_map(|config| &config.queues).map(|queue| QueueStatus {
         name: queue.name.clone(),
         pool: queue.service.clone(),
@@ -119,14 +119,14 @@
         accepted_ms: submission.accepted_ms,
         ended_ms: progress.map_or(0, |told| told.ended_ms),
         term: progress.map_or(0, |told| told.term),
-        tasks: submission.tasks(),
+        tasks: submission.task_count(),
         steps_done: progress.map_or(0, |told| told.steps_done.len()),
         failures,
         runs: live_runs(id, job),
     })
 }
 
-fn live_runs(id: JobId, job: &BookedJob) -> Vec<RunStatus> {
+fn live_runs(id: JobId, job: &LoggedJob) -> Vec<RunStatus> {
     let mut runs = Vec::new();
     let Some(progress) = &job.progress else { return runs };
     for task in &progress.tasks {
--- a/src/jobs/submitter.rs
+++ b/src/jobs/submitter.rs
@@ -16,10 +16,10 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::jobs::node::JobNode;
-use crate::jobs::patience::PatienceGauge;
 use crate::jobs::ports::{AppendCall, AppendOutcome, JobLog, LogTopic, WriterStamp};
 use crate::jobs::record::{JobRecord, KeyedRecord};
 use crate::jobs::relay::{RelayClient, RelayOutcome};
+use crate::jobs::timeout_estimator::TimeoutEstimator;
 
 /// Records in one append at most.
 const BATCH_MAX: usize = 128;
@@ -92,7 +92,7 @@
     writer: Arc<str>,
     epoch: u64,
     sequence: u64,
-    patience: PatienceGauge,
+    patience: TimeoutEstimator,
 }
 
 /// Starts the submitter's task.
@@ -100,7 +100,7 @@
     let (sender, requests) = mpsc::channel(QUEUE_MAX);
     // A restarted process has forgotten its numbers: it is another writer.
     let writer = format!("{}-{life:x}", node.settings.node).into();
-    let patience = PatienceGauge::new(APPEND_PATIENCE);
+    let patience = TimeoutEstimator::new(APPEND_PATIENCE);
     let submitter =
         Submitter { node, log, requests, relay, writer, epoch: 1, sequence: 0, patience };
     tokio::spawn(submitter.run());
@@ -163,8 +163,8 @@
         let mut is_in_doubt = is_relayed;
         loop {
             let sent = Instant::now();
-            let outcome = self.log.append(&call, self.patience.patience()).await;
-            self.patience.learn(outcome, sent.elapsed());
+            let outcome = self.log.append(&call, self.patience.timeout()).await;
+            self.patience.record_outcome(outcome, sent.elapsed());
             match outcome {
                 AppendOutcome::Done { offset, .. } => {
                     self.sequence += 1;
--- a/src/jobs/patience.rs
+++ b/src/jobs/timeout_estimator.rs
@@ -18,45 +18,45 @@
 
 /// Learns from answers how long to wait for the next one.
 #[derive(Clone, Debug)]
-pub struct PatienceGauge {
+pub struct TimeoutEstimator {
     longest: Duration,
     smoothed: Option<(Duration, Duration)>,
     doublings: u32,
 }
 
-impl PatienceGauge {
+impl TimeoutEstimator {
     /// One that waits `longest` until it has seen an answer, and never longer.
-    pub fn new(longest: Duration) -> PatienceGauge {
-        PatienceGauge { longest, smoothed: None, doublings: 0 }
+    pub fn new(longest: Duration) -> TimeoutEstimator {
+        TimeoutEstimator { longest, smoothed: None, doublings: 0 }
     }
 
     /// Time that answers take, once there was one.
-    pub fn time(&self) -> Option<Duration> {
+    pub fn response_time(&self) -> Option<Duration> {
         self.smoothed.map(|(time, _)| time)
     }
 
     /// Time to wait for the next answer.
-    pub fn patience(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         let Some((time, deviation)) = self.smoothed else { return self.longest };
         let wait = (time + deviation * 4).max(PATIENCE_MIN);
         wait.saturating_mul(1 << self.doublings.min(8)).min(self.longest)
     }
 
     /// Takes in what became of an append after this time.
-    pub fn learn(&mut self, outcome: AppendOutcome, after: Duration) {
+    pub fn record_outcome(&mut self, outcome: AppendOutcome, after: Duration) {
         match outcome {
-            AppendOutcome::Unknown => self.timed_out(),
+            AppendOutcome::Unknown => self.record_timeout(),
             // It may not have reached the log at all.
             AppendOutcome::Refused => {}
             AppendOutcome::Done { .. }
             | AppendOutcome::EndMoved { .. }
             | AppendOutcome::Fenced
-            | AppendOutcome::OutOfSequence => self.answered(after),
+            | AppendOutcome::OutOfSequence => self.record_answer(after),
         }
     }
 
     /// An answer came after this time.
-    pub fn answered(&mut self, after: Duration) {
+    pub fn record_answer(&mut self, after: Duration) {
         self.doublings = 0;
         self.smoothed = Some(match self.smoothed {
             None => (after, after / 2),
@@ -70,7 +70,7 @@
     }
 
     /// No answer came in time.
-    pub fn timed_out(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.doublings = self.doublings.saturating_add(1);
     }
 }
--- a/src/jobs/wave_teller.rs
+++ b/src/jobs/wave_reporter.rs
@@ -21,7 +21,7 @@
 const WRITER: &str = "waves";
 
 /// Appends statuses, one after the other.
-pub struct WaveTeller<L> {
+pub struct WaveReporter<L> {
     log: L,
     encoder: WaveEncoder,
     logger: Logger,
@@ -30,7 +30,7 @@
     statuses: mpsc::UnboundedReceiver<(u64, bool)>,
 }
 
-impl<L: JobLog> WaveTeller<L> {
+impl<L: JobLog> WaveReporter<L> {
     /// A teller for a leader of this term, and where it is given a wave's number and whether it is
     /// complete.
     pub fn open(
@@ -38,9 +38,9 @@
         encoder: WaveEncoder,
         logger: Logger,
         term: u64,
-    ) -> (WaveTeller<L>, mpsc::UnboundedSender<(u64, bool)>) {
+    ) -> (WaveReporter<L>, mpsc::UnboundedSender<(u64, bool)>) {
         let (sender, statuses) = mpsc::unbounded_channel();
-        (WaveTeller { log, encoder, logger, term, sequence: 0, statuses }, sender)
+        (WaveReporter { log, encoder, logger, term, sequence: 0, statuses }, sender)
     }
 
     /// Appends what it is given until nobody can give it any more, or a later leader tells instead.
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -26,8 +26,9 @@
 
     /// Whether starts may go by the rooms of a pool's workers.
     pub(crate) fn is_capacity_view_fresh(&self, pool: &str, now: u64) -> bool {
-        let is_guarded = self.config.pool(pool).is_some_and(|pool| pool.is_guarded);
-        is_guarded || now <= self.rooms_ms + ROOM_AGE_MS
+        let has_admission_check =
+            self.config.pool(pool).is_some_and(|pool| pool.has_admission_check);
+        has_admission_check || now <= self.rooms_ms + ROOM_AGE_MS
     }
 
     /// Takes what a worker says of itself, and takes back the starts that no longer fit, the latest first, or all
@@ -35,7 +36,7 @@
     pub(crate) fn update_worker_entry(&mut self, entry: WorkerEntry, now: u64) {
         let id = entry.id.clone();
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let has_shrunk = !entry.capacity.holds(&worker.entry.capacity);
+        let has_shrunk = !entry.capacity.covers(&worker.entry.capacity);
         let is_leaving = entry.is_draining;
         worker.entry = entry;
         if is_leaving {
--- a/src/scheduler/commit.rs
+++ b/src/scheduler/commit.rs
@@ -217,7 +217,7 @@
         let drops_max = DROPS_MAX.min(idle_room / DROP_BYTES).max(1);
         let dropped = self.commits.drops.len().min(drops_max);
         for job in self.commits.drops.drain(..dropped) {
-            batch.records.extend(JobRecord::drops(job));
+            batch.records.extend(JobRecord::drop_records(job));
             batch.folded.push(JobRecord::Dropped(job));
         }
         // A job without its cancellation would run: its own keys go first.
--- a/src/scheduler/copies.rs
+++ b/src/scheduler/copies.rs
@@ -74,7 +74,7 @@
     fn wants_copy(&self, step: &StepRun, index: usize, now: u64) -> bool {
         let Some(task) = step.tasks.get(index) else { return false };
         // A copy of what may crash its worker would cost two.
-        if task.live.is_empty() || task.live.len() >= COPIES_MAX || task.losses.all > 0 {
+        if task.live.is_empty() || task.live.len() >= COPIES_MAX || task.losses.total > 0 {
             return false;
         }
         let is_young = |live: &LiveRun| {
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -54,7 +54,7 @@
     /// What the work that arrives now will keep busy.
     pub fn load(&mut self, now: u64) -> ResourceVector {
         self.decay(now);
-        self.steady.load().most(&self.quick.load())
+        self.steady.load().component_max(&self.quick.load())
     }
 
     fn decay(&mut self, now: u64) {
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -68,8 +68,8 @@
             if !self.is_capacity_view_fresh(&step.service, now) {
                 continue;
             }
-            let booked = spec.booked();
-            let is_hopeless = full.get(&step.service).is_some_and(|least| booked.holds(least));
+            let booked = spec.reservation();
+            let is_hopeless = full.get(&step.service).is_some_and(|least| booked.covers(least));
             if is_hopeless && !is_urgent(spec) {
                 continue;
             }
@@ -114,7 +114,7 @@
         for worker in self.workers.values().filter(|worker| worker.is_open(now)) {
             let free = worker.free();
             match rooms.get_mut(&worker.entry.service) {
-                Some(room) => *room = room.most(&free),
+                Some(room) => *room = room.component_max(&free),
                 None => {
                     rooms.insert(worker.entry.service.clone(), free);
                 }
@@ -135,7 +135,8 @@
             for (occurrence, run) in &job.occurrences {
                 let mut ranked = None;
                 for (position, step) in run.steps.iter().enumerate() {
-                    if !is_urgent(&specs[position]) && !room.holds(&specs[position].booked()) {
+                    if !is_urgent(&specs[position]) && !room.covers(&specs[position].reservation())
+                    {
                         continue;
                     }
                     let is_open = |before: &u16| {
@@ -302,7 +303,7 @@
         now: u64,
     ) -> Vec<Arc<str>> {
         let mut avoided = self.avoided(key);
-        if self.loss_count(key).all > 0 {
+        if self.loss_count(key).total > 0 {
             avoided.extend(self.unsteady_workers(service, key, now));
         }
         if is_urgent(spec) && self.fleet.hurried.contains(service) {
@@ -404,11 +405,11 @@
         now: u64,
     ) -> Option<Arc<str>> {
         let remote_ms = remote_cost_ms(query.spec, self.bounds.remote_factor);
-        let booked = query.spec.booked();
+        let booked = query.spec.reservation();
         // The cheapest question first: in a burst few workers have room.
         self.workers
             .iter()
-            .filter(|(id, worker)| self.unclaimed(id, worker).holds(&booked))
+            .filter(|(id, worker)| self.unclaimed(id, worker).covers(&booked))
             .filter(|(_, worker)| &*worker.entry.service == service)
             .filter(|(_, worker)| worker.takes(query.terms, now))
             .filter(|(id, worker)| is_allowed(id, worker, query))
@@ -451,7 +452,7 @@
         let is_hurried = self.fleet.hurried.contains(&service);
         let has_lasting = is_hurried && hosts.iter().any(|(is_due, _)| !is_due);
         hosts.iter().filter(|(is_due, _)| !(has_lasting && *is_due)).any(|(_, worker)| {
-            worker.free().holds(&spec.booked())
+            worker.free().covers(&spec.reservation())
                 || is_hurried && self.may_preempt_for(worker, spec, rank, now)
         })
     }
@@ -463,9 +464,9 @@
         let hosts_service = worker.runs.values().any(|run| run.is_service);
         let due = u64::from(self.fleet.is_due(&worker.entry.id));
         let rack = query.racks.get(worker.entry.rack()).copied().unwrap_or(0);
-        let load = worker.used().share_of(&worker.entry.capacity);
+        let load = worker.used().dominant_share_of(&worker.entry.capacity);
         let fullest = 1_000 - load.min(1_000);
-        if query.terms.is_guarded() {
+        if query.terms.has_admission_check() {
             // What is lost with it, services first: each has a budget for being away.
             let is_unsteady = u64::from(self.losses.has_recent_loss(worker.entry.address, now));
             if query.terms.is_shared() {
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use crate::jobs::ports::{VmCommand, VmOutcome};
-use crate::jobs::site::{MaintenanceWave, VmEntry, VmState, life_name};
+use crate::jobs::site::{MaintenanceWave, VmEntry, VmState, worker_name};
 use crate::scheduler::demand::ArrivalRate;
 use crate::scheduler::incarnations::IncarnationTable;
 use crate::scheduler::losses::IncarnationEnd;
@@ -163,7 +163,7 @@
     pub fn lives(&self) -> Option<HashMap<&str, VmState>> {
         self.listed_ms?;
         let shown = self.vms.values().filter(|vm| !vm.worker.is_empty());
-        Some(shown.map(|vm| (life_name(&vm.worker), vm.state)).collect())
+        Some(shown.map(|vm| (worker_name(&vm.worker), vm.state)).collect())
     }
 
     /// The VM that a worker runs on.
@@ -443,7 +443,7 @@
                 needed: need.needed,
                 usable: need.usable,
                 idle: need.idle.len(),
-                booked: need.allocated.share_of(&need.capacity),
+                booked: need.allocated.dominant_share_of(&need.capacity),
             });
         }
     }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -82,7 +82,7 @@
             let chosen = free
                 .iter()
                 .filter(|(id, room)| {
-                    room.holds(&spec.booked())
+                    room.covers(&spec.reservation())
                         && self
                             .workers
                             .get(**id)
@@ -90,14 +90,14 @@
                 })
                 .min_by_key(|(id, room)| {
                     let worker = &self.workers[**id];
-                    let is_unsteady = terms.is_guarded()
+                    let is_unsteady = terms.has_admission_check()
                         && self.losses.has_recent_loss(worker.entry.address, now);
-                    let share = room.share_of(&worker.entry.capacity);
+                    let share = room.dominant_share_of(&worker.entry.capacity);
                     (!is_near(worker, spec), is_unsteady, share)
                 })
                 .map(|(id, _)| (*id).clone())?;
             if let Some(room) = free.get_mut(&chosen) {
-                *room = room.less(&spec.booked());
+                *room = room.saturating_sub(&spec.reservation());
             }
             *beside.entry(chosen.clone()).or_insert(0) += 1;
             plan.push(chosen);
--- a/src/scheduler/incarnations.rs
+++ b/src/scheduler/incarnations.rs
@@ -4,7 +4,7 @@
 //! to the life before may be carried out by the next one: a start that had no answer yet runs there seconds later,
 //! and its task, taken for lost and started elsewhere, would run twice. Five things keep that out:
 //!
-//! * A life is known by its name and the time of its birth (`life_id`), and everything is booked by it: numbers
+//! * A life is known by its name and the time of its birth (`incarnation_id`), and everything is booked by it: numbers
 //!   of exits, clocks, leases and losses of one life are never held against another.
 //! * Runs that the life before has listed are over with it. Those that may still be on their way go over to the
 //!   next life, and are over only when that one does not list them.
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 
 use crate::jobs::model::TaskKey;
-use crate::jobs::site::{WorkerEntry, life_id, life_name};
+use crate::jobs::site::{WorkerEntry, incarnation_id, worker_name};
 use crate::scheduler::job::{LiveRun, RunPhase};
 use crate::scheduler::losses::IncarnationEnd;
 use crate::scheduler::worker::{BookedRun, WorkerRun};
@@ -43,7 +43,7 @@
 
     /// Takes a life; the one before it, if that was another.
     fn begin(&mut self, id: &Arc<str>) -> Option<Arc<str>> {
-        let before = self.newest.insert(life_name(id).into(), id.clone());
+        let before = self.newest.insert(worker_name(id).into(), id.clone());
         let before = before.filter(|before| before != id)?;
         self.end(&before);
         Some(before)
@@ -52,12 +52,12 @@
     /// A life is over: what was sent to it must not count with the next one.
     fn end(&mut self, before: &Arc<str>) {
         self.over.insert(before.clone());
-        *self.fence_steps.entry(life_name(before).into()).or_default() += 1;
+        *self.fence_steps.entry(worker_name(before).into()).or_default() += 1;
     }
 
     /// What is added to the fencing token in calls to a worker.
     fn fence_step(&self, id: &str) -> u64 {
-        self.fence_steps.get(life_name(id)).copied().unwrap_or_default()
+        self.fence_steps.get(worker_name(id)).copied().unwrap_or_default()
     }
 
     /// Whether a later life has been seen.
@@ -92,13 +92,18 @@
         true
     }
 
-    /// A worker has answered under a life that began at `born_ms`; false if that is another than the one it was
+    /// A worker has answered under a life that began at `started_ms`; false if that is another than the one it was
     /// asked as, so that the answer tells nothing of that one.
-    pub(crate) fn is_answer_of(&mut self, id: &Arc<str>, born_ms: Option<u64>, now: u64) -> bool {
-        let Some(born_ms) = born_ms else { return true };
+    pub(crate) fn is_answer_of(
+        &mut self,
+        id: &Arc<str>,
+        started_ms: Option<u64>,
+        now: u64,
+    ) -> bool {
+        let Some(started_ms) = started_ms else { return true };
         let Some(worker) = self.workers.get(id) else { return true };
-        let answering = life_id(life_name(id), Some(born_ms));
-        if answering == *id || life_name(id) == &**id {
+        let answering = incarnation_id(worker_name(id), Some(started_ms));
+        if answering == *id || worker_name(id) == &**id {
             return true;
         }
         if !self.lives.is_over(&answering) {
@@ -111,8 +116,8 @@
     /// The first answer of a life under our token: others of the same worker, of which only the log told, are
     /// over.
     pub(crate) fn end_other_lives(&mut self, id: &Arc<str>, now: u64) {
-        let name = life_name(id);
-        let is_other = |other: &&Arc<str>| *other != id && life_name(other) == name;
+        let name = worker_name(id);
+        let is_other = |other: &&Arc<str>| *other != id && worker_name(other) == name;
         let others: Vec<Arc<str>> = self.workers.keys().filter(is_other).cloned().collect();
         let Some(entry) = self.workers.get(id).map(|worker| worker.entry.clone()) else { return };
         for other in others {
@@ -168,7 +173,7 @@
     /// Whether an acknowledgement can reach no exit but those of this life: all that was sent to it is listed by it.
     /// Services may stay in doubt for as long as they last, and their exits are no loss.
     pub(crate) fn may_acknowledge(&self, id: &str) -> bool {
-        let Some(worker) = self.workers.get(id).filter(|_| life_name(id) != id) else {
+        let Some(worker) = self.workers.get(id).filter(|_| worker_name(id) != id) else {
             return true;
         };
         let is_open = |(key, run): (&(TaskKey, u32), &BookedRun)| {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::jobs::book::BookedJob;
+use crate::jobs::job_table::LoggedJob;
 use crate::jobs::model::{JobId, JobState, JobSubmission, StepSpec, TASKS_MAX, TaskKey};
-use crate::jobs::record::{JobProgress, LossCount, TaskProgress, TaskSetbacks};
+use crate::jobs::record::{JobProgress, LossCount, TaskProgress, TaskRestarts};
 use crate::scheduler::downtime::LastAlive;
 
 /// Share of its speed from which a new leader regulates a run, in percent: what the leader before allowed is not known.
@@ -227,7 +227,7 @@
 
 impl JobRun {
     /// A job that the log knows, with what it tells of its progress.
-    pub fn restore(id: JobId, job: &BookedJob, arrived_ms: u64) -> Option<JobRun> {
+    pub fn restore(id: JobId, job: &LoggedJob, arrived_ms: u64) -> Option<JobRun> {
         let submission = job.submission.clone()?;
         let mut run = JobRun {
             id,
@@ -260,7 +260,7 @@
         for told in &progress.tasks {
             self.apply_task(told, &progress.workers);
         }
-        for told in &progress.setbacks {
+        for told in &progress.restarts {
             let key = self.setback_key(told);
             if let Some(task) = self.task_mut(&key) {
                 task.losses = told.losses;
@@ -270,11 +270,11 @@
     }
 
     /// Takes in what the log tells of when its tasks were last known to run.
-    pub(crate) fn restore_last_alive(&mut self, job: &BookedJob, now: u64, wall_ms: u64) {
+    pub(crate) fn restore_last_alive(&mut self, job: &LoggedJob, now: u64, wall_ms: u64) {
         let Some(progress) = &job.progress else { return };
-        let lost = progress.setbacks.iter().enumerate().filter(|(_, told)| told.losses.all > 0);
+        let lost = progress.restarts.iter().enumerate().filter(|(_, told)| told.losses.total > 0);
         for (position, told) in lost {
-            let logged_ms = progress.seen_ms.get(position).copied().unwrap_or_default();
+            let logged_ms = progress.last_alive_ms.get(position).copied().unwrap_or_default();
             let key = self.setback_key(told);
             if let Some(task) = self.task_mut(&key) {
                 task.last_alive = Some(LastAlive::restore(logged_ms, now, wall_ms));
@@ -282,8 +282,8 @@
         }
     }
 
-    fn setback_key(&self, told: &TaskSetbacks) -> TaskKey {
-        let TaskSetbacks { occurrence, step, index, .. } = *told;
+    fn setback_key(&self, told: &TaskRestarts) -> TaskKey {
+        let TaskRestarts { occurrence, step, index, .. } = *told;
         TaskKey { job: self.id, occurrence, step, index }
     }
 
@@ -318,7 +318,7 @@
     pub fn begin_due(&mut self, wall_ms: u64) -> bool {
         let mut has_begun = false;
         let submission = self.submission.clone();
-        let tasks = submission.spec.tasks();
+        let tasks = submission.spec.task_count();
         while self.next_occurrence < submission.spec.occurrences()
             && (self.occurrences.len() + 1).saturating_mul(tasks) <= TASKS_MAX
             && submission.spec.due_ms(self.next_occurrence) <= wall_ms
@@ -339,8 +339,8 @@
             steps_done: Vec::new(),
             tasks: Vec::new(),
             workers: Vec::new(),
-            setbacks: Vec::new(),
-            seen_ms: Vec::new(),
+            restarts: Vec::new(),
+            last_alive_ms: Vec::new(),
         };
         progress.occurrences_done =
             self.occurrences.keys().next().copied().unwrap_or(self.next_occurrence);
@@ -458,9 +458,9 @@
         }
         let index = u32::try_from(index).unwrap_or(u32::MAX);
         let (losses, moves) = (task.losses, task.moves);
-        if losses.all + moves > 0 && !task.is_done {
-            progress.setbacks.push(TaskSetbacks { occurrence, step, index, losses, moves });
-            progress.seen_ms.push(task.last_alive.map_or(0, |seen| seen.wall_ms));
+        if losses.total + moves > 0 && !task.is_done {
+            progress.restarts.push(TaskRestarts { occurrence, step, index, losses, moves });
+            progress.last_alive_ms.push(task.last_alive.map_or(0, |seen| seen.wall_ms));
         }
         let live = task
             .live
--- a/src/scheduler/loss_attribution.rs
+++ b/src/scheduler/loss_attribution.rs
@@ -161,7 +161,7 @@
             self.losses.track_losses(run.task.job, &losses);
             self.commits.mark(run.task.job);
             if losses.is_on_trial() && !is_over {
-                self.note(SchedulerNote::OnTrial { task: run.task, lost: losses.all });
+                self.note(SchedulerNote::OnTrial { task: run.task, lost: losses.total });
             }
             if is_over {
                 self.defer_verdict(VerdictCause::Exhausted, run.task, worker, now);
@@ -192,7 +192,7 @@
         if !is_open {
             return;
         }
-        let lost = self.loss_count(key).all;
+        let lost = self.loss_count(key).total;
         self.note(SchedulerNote::GivenUp { task: *key, lost, reason });
         self.finish_job(key.job, JobState::Failed, now);
     }
--- a/src/scheduler/losses.rs
+++ b/src/scheduler/losses.rs
@@ -91,38 +91,38 @@
 
     /// Whether the task is on trial: the loss of its next worker must tell of it alone.
     pub fn is_on_trial(&self) -> bool {
-        self.all >= TRIAL_FROM
+        self.total >= TRIAL_FROM
     }
 
     /// Whether the log must keep what else was lost in its pool.
     fn is_recorded(&self) -> bool {
-        self.all >= RECORDED_FROM
+        self.total >= RECORDED_FROM
     }
 
     /// Time that each VM of a pool lasts in which a task on trial may start, in milliseconds.
     fn calm_life_ms(&self) -> u64 {
-        CALM_LIFE_MS << self.all.saturating_sub(TRIAL_FROM).min(1)
+        CALM_LIFE_MS << self.total.saturating_sub(TRIAL_FROM).min(1)
     }
 
     /// Whether so many were lost that the task must not start again.
     pub fn is_exhausted(&self) -> bool {
-        self.all >= LOSSES_MAX
+        self.total >= LOSSES_MAX
     }
 
     /// Whether the task is given up with its next loss.
     pub(crate) fn has_one_loss_left(&self) -> bool {
-        self.all + 1 >= LOSSES_MAX
+        self.total + 1 >= LOSSES_MAX
     }
 
     /// One worker more was lost.
     pub(crate) fn add(&mut self, is_at_start: bool) {
-        self.all += 1;
+        self.total += 1;
         self.at_start += u32::from(is_at_start);
     }
 
     /// A worker that was taken for lost has answered, or was lost by another task.
     pub(crate) fn take_back(&mut self, is_at_start: bool) {
-        self.all = self.all.saturating_sub(1);
+        self.total = self.total.saturating_sub(1);
         self.at_start = self.at_start.saturating_sub(u32::from(is_at_start));
     }
 }
@@ -216,7 +216,7 @@
     at_ms: u64,
     entry: WorkerEntry,
     /// Tasks that ran there.
-    aboard: Vec<TaskKey>,
+    running_tasks: Vec<TaskKey>,
     /// Jobs that were just starting there.
     starting: Vec<JobId>,
     /// Whom it was counted against.
@@ -344,7 +344,7 @@
             .map(|loss| LostVm {
                 address: loss.entry.address,
                 lost_ms: wall_at(loss.at_ms),
-                aboard: loss.aboard.iter().filter(is_open).copied().collect(),
+                running_tasks: loss.running_tasks.iter().filter(is_open).copied().collect(),
             });
         let latest: BTreeMap<SocketAddr, LostVm> =
             inherited.chain(own).map(|vm| (vm.address, vm)).collect();
@@ -359,12 +359,12 @@
     fn loss_ages(&self, service: &str, key: &TaskKey, now: u64) -> Vec<u64> {
         let mut latest: BTreeMap<SocketAddr, u64> = BTreeMap::new();
         for loss in self.inherited.iter().filter(|loss| &*loss.service == service) {
-            if !loss.vm.aboard.contains(key) {
+            if !loss.vm.running_tasks.contains(key) {
                 latest.insert(loss.vm.address, loss.at_ms);
             }
         }
         for loss in self.recent.iter().filter(|loss| &*loss.entry.service == service) {
-            if !loss.aboard.contains(key) && !loss.is_explained() {
+            if !loss.running_tasks.contains(key) && !loss.is_explained() {
                 latest.insert(loss.entry.address, loss.at_ms);
             }
         }
@@ -431,7 +431,7 @@
     /// A worker was lost with these runs.
     pub fn insert(&mut self, entry: &WorkerEntry, exposed: &[ExposedRun], now: u64) {
         self.recent.retain(|loss| now <= loss.at_ms + KEPT_MS);
-        let aboard = exposed.iter().map(|run| run.task).collect();
+        let running_tasks = exposed.iter().map(|run| run.task).collect();
         let starting = exposed.iter().filter(|run| run.is_starting());
         let mut jobs: Vec<JobId> = starting.map(|run| run.task.job).collect();
         jobs.dedup();
@@ -444,7 +444,7 @@
         let loss = RecentLoss {
             at_ms: now,
             entry: entry.clone(),
-            aboard,
+            running_tasks,
             starting: jobs,
             counted: counted.collect(),
             had_suspect: exposed.iter().any(|run| run.booked.is_on_probation()),
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -244,7 +244,7 @@
             .iter()
             .filter(|name| {
                 let is_down =
-                    self.fleet.vms.get(*name).is_some_and(|vm| vm.state == VmState::Maintained);
+                    self.fleet.vms.get(*name).is_some_and(|vm| vm.state == VmState::InMaintenance);
                 let is_sent = self.fleet.intents.get(*name).is_some_and(|intent| {
                     intent.is_for_wave(number) && intent.phase != IntentPhase::Draining
                 });
@@ -271,7 +271,7 @@
 
     /// VMs that must be maintained at a time for the wave to be in time.
     fn wanted_parallel(&self, left: usize, deadline: u64, now: u64) -> usize {
-        let each_ms = self.bounds.maintain_ms + OVERHEAD_MS;
+        let each_ms = self.bounds.maintenance_ms + OVERHEAD_MS;
         let left_ms = deadline.saturating_sub(now) * PLANNED_PERCENT / 100;
         let work_ms = u64::try_from(left).unwrap_or(0) * each_ms;
         match left_ms {
@@ -292,7 +292,7 @@
         if worker.silent_since_ms.is_some() || worker.entry.is_draining {
             return None;
         }
-        let load = worker.used().share_of(&worker.entry.capacity);
+        let load = worker.used().dominant_share_of(&worker.entry.capacity);
         if worker.runs.is_empty() {
             // One that has just been given to a pool is about to be used.
             let is_wanted = now < worker.idle_since_ms + 300;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -45,13 +45,13 @@
 use std::sync::Arc;
 
 use crate::decide::leadership::{LeaderTrace, PredecessorEnd};
-use crate::jobs::book::{BookedJob, JobBook};
 use crate::jobs::flow::FlowPace;
+use crate::jobs::job_table::{JobTable, LoggedJob};
 use crate::jobs::model::{JobId, JobState, JobSubmission, StepKey, TaskKey};
-use crate::jobs::ports::{PermitGrant, VM_PATIENCE_MS, WorkerTarget};
+use crate::jobs::ports::{PermitGrant, VM_COMMAND_TIMEOUT_MS, WorkerTarget};
 use crate::jobs::record::JobRecord;
 use crate::jobs::site::{
-    MaintenanceWave, QueueSpec, SiteBounds, SiteConfig, VmEntry, WorkerEntry, life_name,
+    MaintenanceWave, QueueSpec, SiteBounds, SiteConfig, VmEntry, WorkerEntry, worker_name,
 };
 use crate::scheduler::abandoned::AbandonedRuns;
 pub use crate::scheduler::action::{RecordSource, SchedulerAction, SchedulerNote};
@@ -80,7 +80,7 @@
 pub const VM_CONFIRMATION_MS: u64 = 800;
 /// Time after its last confirmation at which no command of a leader to a VM can be carried out any more,
 /// in milliseconds.
-pub const VM_COMMAND_LIFE_MS: u64 = VM_CONFIRMATION_MS + VM_PATIENCE_MS;
+pub const VM_COMMAND_LIFE_MS: u64 = VM_CONFIRMATION_MS + VM_COMMAND_TIMEOUT_MS;
 /// Time for which a late answer shows that we are behind, in milliseconds.
 const LATE_AGE_MS: u64 = 2_000;
 /// Workers with late answers that show it: so many, and one in so many; a few can be slow themselves.
@@ -120,7 +120,7 @@
         PredecessorEnd::Unknown => leader.seen_ms + VM_COMMAND_LIFE_MS,
         PredecessorEnd::Resigned => 0,
         // Our clock began after it had ended; the service may still be at work on what it had sent.
-        PredecessorEnd::Restarted => VM_PATIENCE_MS,
+        PredecessorEnd::Restarted => VM_COMMAND_TIMEOUT_MS,
     }
 }
 
@@ -183,7 +183,7 @@
 
 impl Scheduler {
     /// Takes over from the log: every run that it tells of may be alive.
-    pub fn open(start: SchedulerStart, book: &JobBook) -> Scheduler {
+    pub fn open(start: SchedulerStart, book: &JobTable) -> Scheduler {
         let SchedulerStart { term, bounds, config, predecessor, now, wall_ms, .. } = start;
         // The leader before extends no lease later than this long after it was last confirmed.
         let lease_ms = bounds.lease_max_ms * 100 / 98 + 100;
@@ -243,7 +243,7 @@
         scheduler
     }
 
-    fn restore(&mut self, id: JobId, job: &BookedJob, now: u64, wall_ms: u64) {
+    fn restore(&mut self, id: JobId, job: &LoggedJob, now: u64, wall_ms: u64) {
         for mark in job.tombstones.keys() {
             self.tombstones.insert(id, *mark, now);
         }
@@ -262,7 +262,7 @@
             if run.ended_wall_ms == 0 {
                 run.ended_wall_ms = wall_ms;
             }
-            self.finished.insert(id, job.over_ms.unwrap_or(now));
+            self.finished.insert(id, job.finished_ms.unwrap_or(now));
             if live.is_empty() {
                 return;
             }
@@ -450,7 +450,7 @@
                     return;
                 }
                 self.learn_queue_of(submission);
-                let booked = BookedJob::submitted(submission.clone());
+                let booked = LoggedJob::submitted(submission.clone());
                 let Some(mut run) = JobRun::restore(*job, &booked, now) else { return };
                 run.is_beyond_share = !self.is_within_share(submission, now);
                 if submission.spec.schedule.is_none() {
@@ -561,8 +561,8 @@
     /// Every worker that is listed now; the others' entries are gone.
     pub fn workers_listed(&mut self, entries: Vec<WorkerEntry>, now: u64) {
         // Those that are listed under another life are dealt with when that is taken in.
-        let listed: BTreeSet<&str> = entries.iter().map(|entry| life_name(&entry.id)).collect();
-        let is_gone = |id: &&Arc<str>| !listed.contains(life_name(id));
+        let listed: BTreeSet<&str> = entries.iter().map(|entry| worker_name(&entry.id)).collect();
+        let is_gone = |id: &&Arc<str>| !listed.contains(worker_name(id));
         let gone: Vec<Arc<str>> = self.workers.keys().filter(is_gone).cloned().collect();
         for id in gone {
             self.life_unlisted(&id, now);
--- a/src/scheduler/needs.rs
+++ b/src/scheduler/needs.rs
@@ -91,7 +91,7 @@
             if let Some(arrivals) = self.fleet.arrivals.get_mut(&pool.name) {
                 let mut coming = arrivals.load(now);
                 coming.add(&services);
-                booked = booked.most(&coming);
+                booked = booked.component_max(&coming);
             }
             let lasting = if self.fleet.hurried.contains(&pool.name) { LASTING_VMS } else { 0 };
             let apart = apart + lasting;
@@ -140,7 +140,7 @@
                         (_, false) => waiting * usize::try_from(UPCOMING_PERCENT).unwrap_or(0),
                     };
                     let wanted = u64::try_from(booked * 100 + counted).unwrap_or(0);
-                    let all = spec.booked().times(wanted).percent();
+                    let all = spec.reservation().times(wanted).hundredth();
                     load.booked.add(&all);
                     if is_begun {
                         load.waiting.add(&all);
@@ -162,7 +162,7 @@
 
 /// VMs that a load fills.
 fn vms_for(load: &ResourceVector, room: &ResourceVector) -> usize {
-    let packed = load.times(100).share_of(&room.times(PACKED_PERCENT));
+    let packed = load.times(100).dominant_share_of(&room.times(PACKED_PERCENT));
     usize::try_from(packed.div_ceil(1_000)).unwrap_or(usize::MAX)
 }
 
--- a/src/scheduler/organisation.rs
+++ b/src/scheduler/organisation.rs
@@ -50,7 +50,7 @@
     /// A run is over.
     pub fn remove_run(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
         let Some(entry) = organisation.and_then(|name| self.uses.get_mut(name)) else { return };
-        entry.used = entry.used.less(need);
+        entry.used = entry.used.saturating_sub(need);
         entry.runs = entry.runs.saturating_sub(1);
     }
 
@@ -84,7 +84,7 @@
             memory: limit(cap.memory),
             accelerators: limit(cap.accelerators),
         };
-        Some(limits.less(&self.usage(organisation).used))
+        Some(limits.saturating_sub(&self.usage(organisation).used))
     }
 }
 
@@ -115,7 +115,7 @@
             .min(part(left.memory, need.memory))
             .min(part(left.accelerators, need.accelerators));
         let taken = wanted.min(usize::try_from(fitting).unwrap_or(usize::MAX));
-        *left = left.less(&need.times(u64::try_from(taken).unwrap_or(0)));
+        *left = left.saturating_sub(&need.times(u64::try_from(taken).unwrap_or(0)));
         taken
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -43,7 +43,7 @@
         let free = worker.free();
         let Some(promised) = self.claims.promised.get(id) else { return free };
         let coming = self.claims.coming.as_ref().and_then(|coming| coming.get(id).copied()?);
-        free.less(&promised.less(&coming.unwrap_or_default()))
+        free.saturating_sub(&promised.saturating_sub(&coming.unwrap_or_default()))
     }
 
     /// Finds a worker on which a service task gets room once what is stopped there has ended, and stops what must be
@@ -69,7 +69,7 @@
                 continue;
             }
             // Left out for another reason than room: nothing that is stopped there would help.
-            if self.unclaimed(id, worker).holds(&query.spec.booked()) {
+            if self.unclaimed(id, worker).covers(&query.spec.reservation()) {
                 continue;
             }
             let Some(room) = self.promisable(id, worker) else { continue };
@@ -86,7 +86,7 @@
         if let Some(known) = &mut self.claims.coming {
             known.insert(id.clone(), coming);
         }
-        self.claims.promised.entry(id.clone()).or_default().add(&query.spec.booked());
+        self.claims.promised.entry(id.clone()).or_default().add(&query.spec.reservation());
         Some(id)
     }
 
@@ -124,7 +124,7 @@
         let coming = self.claims.coming.as_ref()?.get(id).copied()??;
         let mut room = worker.free();
         room.add(&coming);
-        Some(room.less(&self.claims.promised.get(id).copied().unwrap_or_default()))
+        Some(room.saturating_sub(&self.claims.promised.get(id).copied().unwrap_or_default()))
     }
 
     /// What must be displaced on a worker with so much room to come, the least work first.
@@ -135,9 +135,9 @@
         spec: &StepSpec,
         rank: JobRank,
     ) -> Option<Displacement> {
-        let need = spec.booked();
+        let need = spec.reservation();
         let mut found = Displacement { cost: 0, victims: Vec::new() };
-        if room.holds(&need) {
+        if room.covers(&need) {
             return Some(found);
         }
         let mut runs: Vec<(u64, TaskKey, u32, ResourceVector)> = Vec::new();
@@ -159,7 +159,7 @@
             room.add(&freed);
             found.cost += cost;
             found.victims.push((key, run));
-            if room.holds(&need) {
+            if room.covers(&need) {
                 return Some(found);
             }
         }
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -6,8 +6,8 @@
 
 use crate::jobs::model::{CHECKPOINT_BYTES_MAX, ExitKind, JobState, TaskKey};
 use crate::jobs::ports::{
-    CommandOutcome, CommandRefusal, LATE_ANSWER, RenewCall, RunningTask, TaskExit, WorkerReport,
-    WorkerTarget,
+    CommandOutcome, CommandRefusal, LATE_ANSWER_GRACE, RenewCall, RunningTask, TaskExit,
+    WorkerReport, WorkerTarget,
 };
 use crate::scheduler::job::{LiveRun, RunPhase};
 use crate::scheduler::losses::{CRASH_WINDOW_MS, IncarnationEnd};
@@ -26,7 +26,7 @@
 const RENEW_PATIENCE_MAX: Duration = Duration::from_millis(1_500);
 /// Longest time that an answer which is read at all has been on its way, in milliseconds.
 pub(crate) const ANSWER_AGE_MAX_MS: u64 =
-    whole_ms(RENEW_WAIT_MAX) + whole_ms(RENEW_PATIENCE_MAX) + whole_ms(LATE_ANSWER);
+    whole_ms(RENEW_WAIT_MAX) + whole_ms(RENEW_PATIENCE_MAX) + whole_ms(LATE_ANSWER_GRACE);
 /// Least time between two renewals of a worker, in milliseconds: exits that come together are then
 /// taken together, for one call and one append.
 const RENEW_GAP_MS: u64 = 40;
@@ -108,8 +108,8 @@
             true => renew_wait,
             false => Duration::ZERO,
         };
-        let exits_through = if may_acknowledge { worker.exits_tellable() } else { 0 };
-        let call = RenewCall { fence, exits_through, lease_until_ms, wait };
+        let acked_exits = if may_acknowledge { worker.exits_tellable() } else { 0 };
+        let call = RenewCall { fence, acked_exits, lease_until_ms, wait };
         RenewPlan::Call(worker.target(), call, patience)
     }
 
@@ -165,7 +165,7 @@
         match outcome {
             CommandOutcome::Done(report) => self.take_report(id, call, report, sent_ms, now),
             CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.outranked(id),
-            CommandOutcome::Refused(CommandRefusal::WrongLife, _) => {
+            CommandOutcome::Refused(CommandRefusal::WrongIncarnation, _) => {
                 self.end_incarnation(id, IncarnationEnd::OtherIncarnation, now);
             }
             CommandOutcome::Refused(..) => {
@@ -198,7 +198,7 @@
         sent_ms: u64,
         now: u64,
     ) {
-        if !self.is_answer_of(id, report.born_ms, now) {
+        if !self.is_answer_of(id, report.started_ms, now) {
             return;
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -212,7 +212,7 @@
         worker.sample_clock_since(report.clock_ms, sent_ms, now);
         worker.report_ms = now;
         worker.hold_lease(call.lease_until_ms.unwrap_or(0));
-        worker.exits_told = worker.exits_told.max(call.exits_through);
+        worker.exits_told = worker.exits_told.max(call.acked_exits);
         let has_more = !report.exits.is_empty() || !report.running.is_empty();
         // The first report under our token gave no lease yet.
         let gap_ms = match was_fenced && !was_silent {
@@ -311,9 +311,9 @@
             ExitKind::Done
             | ExitKind::Failed
             | ExitKind::Stopped
-            | ExitKind::Lapsed
-            | ExitKind::Broken
-            | ExitKind::Alone => {
+            | ExitKind::LeaseExpired
+            | ExitKind::GangBroken
+            | ExitKind::GangIncomplete => {
                 if spec.is_service && !was_stopping && !is_over {
                     self.back_off(&exit.task, now);
                 }
@@ -621,8 +621,8 @@
         ExitKind::Done => "done",
         ExitKind::Failed => "failed",
         ExitKind::Stopped => "stopped",
-        ExitKind::Lapsed => "lapsed",
-        ExitKind::Broken => "broken",
-        ExitKind::Alone => "alone",
+        ExitKind::LeaseExpired => "lapsed",
+        ExitKind::GangBroken => "broken",
+        ExitKind::GangIncomplete => "alone",
     }
 }
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -5,9 +5,9 @@
 
 use crate::jobs::model::{JobState, StepSpec, TaskKey};
 use crate::jobs::ports::{
-    CommandOutcome, CommandRefusal, RunCall, StartCall, WorkerTarget, refusal_word,
+    CommandOutcome, CommandRefusal, RunCall, StartCall, WorkerTarget, refusal_label,
 };
-use crate::jobs::site::{VmState, life_name};
+use crate::jobs::site::{VmState, worker_name};
 use crate::scheduler::job::{LiveRun, RunPhase, TaskRun};
 use crate::scheduler::losses::IncarnationEnd;
 use crate::scheduler::worker::{BookedRun, WorkSpan, WorkerRun};
@@ -336,7 +336,7 @@
         refusal: CommandRefusal,
         now: u64,
     ) {
-        let reason = refusal_word(refusal);
+        let reason = refusal_label(refusal);
         let open_tries = self.live_mut(key, run).map_or(0, |live| live.open_tries);
         let worker = id.clone();
         self.note(SchedulerNote::StartRefused { task: *key, run, worker, reason, open_tries });
@@ -345,7 +345,7 @@
                 self.outranked(id);
                 return;
             }
-            CommandRefusal::WrongLife => {
+            CommandRefusal::WrongIncarnation => {
                 self.end_incarnation(id, IncarnationEnd::OtherIncarnation, now);
                 return;
             }
@@ -362,16 +362,16 @@
                 return;
             }
             // It has not begun, and its worker's clock is known anew.
-            CommandRefusal::LateLease => {
+            CommandRefusal::LeaseExpired => {
                 if let Some(live) = self.live_mut(key, run) {
                     live.retry_ms = now;
                 }
                 return;
             }
-            CommandRefusal::Permit => {
+            CommandRefusal::InvalidPermit => {
                 self.permits.remove(&key.step_key());
             }
-            CommandRefusal::Unhealthy | CommandRefusal::NoRoom => {
+            CommandRefusal::Unhealthy | CommandRefusal::NoCapacity => {
                 if let Some(worker) = self.workers.get_mut(id) {
                     worker.refuse(refusal, now);
                 }
@@ -422,7 +422,7 @@
                 }
             }
             CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.outranked(worker),
-            CommandOutcome::Refused(CommandRefusal::WrongLife, _) => {
+            CommandOutcome::Refused(CommandRefusal::WrongIncarnation, _) => {
                 self.end_incarnation(worker, IncarnationEnd::OtherIncarnation, now);
             }
             CommandOutcome::Refused(..) | CommandOutcome::Unknown => {}
@@ -532,7 +532,9 @@
             .workers
             .iter()
             .filter(|(_, worker)| worker.silent_since_ms.is_some_and(|since| since <= asked_ms))
-            .filter(|(id, _)| lives.get(life_name(id)).is_none_or(|state| *state == VmState::Down))
+            .filter(|(id, _)| {
+                lives.get(worker_name(id)).is_none_or(|state| *state == VmState::Down)
+            })
             .map(|(id, _)| id.clone())
             .collect();
         if !over.is_empty() {
@@ -580,11 +582,11 @@
 
 fn booked(spec: Option<&StepSpec>, task: &TaskRun) -> Option<BookedRun> {
     spec.map(|spec| BookedRun {
-        need: spec.booked(),
+        need: spec.reservation(),
         span: WorkSpan::default(),
         probation_ms: task.losses.probation_ms(),
         is_shared: false,
-        losses: task.losses.all,
+        losses: task.losses.total,
         is_best_effort: spec.is_best_effort,
         is_service: spec.is_service,
     })
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -93,7 +93,7 @@
 
 impl PlaceTerms {
     /// Whether the start is one of a suspect, or beside one.
-    pub fn is_guarded(self) -> bool {
+    pub fn has_admission_check(self) -> bool {
         self != PlaceTerms::Usual
     }
 
@@ -302,7 +302,7 @@
     /// Takes a run off the book; returns whether it was there.
     pub fn release(&mut self, key: &(TaskKey, u32), now: u64) -> bool {
         let Some(run) = self.runs.remove(key) else { return false };
-        self.used = self.used.less(&run.need);
+        self.used = self.used.saturating_sub(&run.need);
         if self.runs.is_empty() {
             self.idle_since_ms = now;
         }
@@ -316,12 +316,12 @@
 
     /// What is free.
     pub fn free(&self) -> ResourceVector {
-        self.entry.capacity.less(&self.used)
+        self.entry.capacity.saturating_sub(&self.used)
     }
 
     /// Whether what is booked fits what it holds; its room may have shrunk below what runs.
     pub fn is_within_room(&self) -> bool {
-        self.entry.capacity.holds(&self.used)
+        self.entry.capacity.covers(&self.used)
     }
 
     /// Exits up to this number may be acknowledged: the log has them, and all of them may count.
@@ -497,7 +497,7 @@
         self.refused_ms = Some(now);
         match refusal {
             // The books are wrong about it, and each further try would be refused too.
-            CommandRefusal::NoRoom => self.full_until_ms = now + FULL_PAUSE_MS,
+            CommandRefusal::NoCapacity => self.full_until_ms = now + FULL_PAUSE_MS,
             _ => self.judge(false, now),
         }
     }
--- a/standin/src/jobs/site.rs
+++ b/standin/src/jobs/site.rs
@@ -245,7 +245,7 @@
                     let entry = value!({
                         "service": life.pool, "addr": linked.link.address, "zone": "dc-a",
                         "state": "ready", "capacity": capacity, "labels": ["a", linked.vm.rack],
-                        "born": life.born_ms,
+                        "born": life.started_ms,
                     });
                     self.log.put("keyed.servers", &life.id, entry.to_string().as_bytes());
                 }
--- a/standin/src/jobs/worker.rs
+++ b/standin/src/jobs/worker.rs
@@ -80,7 +80,7 @@
     /// Its pool.
     pub pool: String,
     /// When it began, in milliseconds since the epoch.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 /// What a VM's worker does wrong.
@@ -116,7 +116,7 @@
     /// Id of the worker's life; none while the VM is away.
     life: Option<String>,
     lives: u32,
-    born_ms: u64,
+    started_ms: u64,
     /// The id that the next life has as well.
     kept_id: Option<String>,
     back: Option<Instant>,
@@ -200,7 +200,7 @@
     pub fn life(&self) -> Option<WorkerLife> {
         let state = self.shared.lock();
         let (id, pool) = (state.life.clone()?, state.pool.clone());
-        Some(WorkerLife { id, pool, born_ms: state.born_ms })
+        Some(WorkerLife { id, pool, started_ms: state.started_ms })
     }
 
     /// Switches faults.
@@ -284,7 +284,7 @@
         self.lives += 1;
         let id = self.kept_id.take();
         self.life = Some(id.unwrap_or_else(|| format!("{name}-{}", self.lives)));
-        self.born_ms = self.born_ms.max(ibisweir::clock::system_ms()) + 1;
+        self.started_ms = self.started_ms.max(ibisweir::clock::system_ms()) + 1;
         self.back = None;
         (self.doom, self.is_dark) = (None, false);
         self.is_maintained = false;
@@ -302,7 +302,7 @@
 
     /// By what the ledger knows the present life.
     fn mark(&self) -> String {
-        format!("{}@{}", self.life.as_deref().unwrap_or(""), self.born_ms)
+        format!("{}@{}", self.life.as_deref().unwrap_or(""), self.started_ms)
     }
 
     fn used(&self) -> u64 {
@@ -540,7 +540,7 @@
         json(
             200,
             &value!({
-                "clock-ms": self.clock_ms(), "born": state.born_ms, "running": running,
+                "clock-ms": self.clock_ms(), "born": state.started_ms, "running": running,
                 "ended": ended,
             }),
         )
--- a/standin/src/measure/decisions.rs
+++ b/standin/src/measure/decisions.rs
@@ -12,7 +12,7 @@
 
 use ibisweir::decide::access::RevocationRule;
 use ibisweir::error::CodeResult;
-use ibisweir::jobs::book::JobBook;
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{
     ExitKind, JobId, JobSpec, JobSubmission, ResourceVector, StepSpec, TaskKey,
 };
@@ -98,7 +98,8 @@
     };
     let unused_queue =
         |number| QueueSpec { name: format!("unused-{number}").into(), ..queue(number) };
-    let spec = |number| PoolSpec { name: pool(number), is_guarded: true, is_standby: false };
+    let spec =
+        |number| PoolSpec { name: pool(number), has_admission_check: true, is_standby: false };
     SiteConfig {
         version: 1,
         queues: (0..unused).map(unused_queue).chain((0..POOLS).map(queue)).collect(),
@@ -116,7 +117,7 @@
         cancel_ms: 3_000,
         grace_ms: 6_000,
         remote_factor: 3.0,
-        maintain_ms: 2_000,
+        maintenance_ms: 2_000,
         are_vms_fenced: true,
         revocation: RevocationRule { is_strict: false, bound_ms: 0 },
     }
@@ -178,7 +179,7 @@
             now: 100_000,
             wall_ms: 1_000_000,
         };
-        let mut scheduler = Scheduler::open(start, &JobBook::default());
+        let mut scheduler = Scheduler::open(start, &JobTable::default());
         scheduler.workers_listed(entries.clone(), 0);
         let lists = |entry: &WorkerEntry| (entry.id.clone(), Default::default());
         let mut stage = DecisionStage {
@@ -250,7 +251,7 @@
                 steps: vec![step(Vec::new()), step(vec![0])],
                 schedule: None,
             },
-            tasks_kept: 0,
+            kept_task_count: 0,
             organisation: None,
         };
         let id = JobId::parse(&format!("{:016x}", self.submitted));
@@ -333,7 +334,7 @@
                 continue;
             };
             let exits = self.exits.entry(id.clone()).or_default();
-            exits.retain(|exit| exit.number > call.exits_through);
+            exits.retain(|exit| exit.number > call.acked_exits);
             let running = self.running.get(&id).into_iter().flatten();
             let now = self.now;
             let running = running.map(|((task, run), end)| RunningTask {
@@ -345,7 +346,7 @@
             });
             let report = WorkerReport {
                 clock_ms: now,
-                born_ms: None,
+                started_ms: None,
                 running: running.collect(),
                 exits: exits.clone(),
             };
--- a/tests/access.rs
+++ b/tests/access.rs
@@ -11,22 +11,22 @@
     AccessBook, CallerAccess, KeyDigest, OrganisationSpec, PresentedKey, RevocationRule,
 };
 use ibisweir::error::ResultCode;
+use ibisweir::jobs::caller_service::{CallerReply, CallerService};
 use ibisweir::jobs::catch_up::CatchUpReader;
-use ibisweir::jobs::confirm::{self, ViewAnswer, ViewQuestion};
-use ibisweir::jobs::desk::{DeskReply, JobDesk};
+use ibisweir::jobs::confirm::{self, ConfirmAnswer, ConfirmQuery};
 use ibisweir::jobs::follower::{OperatorFollower, TailReader};
 use ibisweir::jobs::model::{JobState, ResourceVector};
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, ReadOutcome,
 };
-use ibisweir::jobs::question::QuestionClient;
+use ibisweir::jobs::query::QueryClient;
 use ibisweir::jobs::record::KeyedRecord;
 use ibisweir::jobs::relay::RelayClient;
 use ibisweir::jobs::site::{OperatorRecord, QueueSpec, SiteConfig};
 use ibisweir::jobs::submitter;
 use ibisweir::transport::HttpTransport;
-use support::outside::silent_node;
+use support::fakes::idle_node;
 use support::stage::{POOL, QUEUE, config, job, job_id, queue, step};
 use tokio::time::{advance, sleep};
 
@@ -123,16 +123,16 @@
 }
 
 struct Entry {
-    desk: JobDesk<ToldLog>,
+    desk: CallerService<ToldLog>,
     follower: OperatorFollower<ToldLog>,
     log: ToldLog,
 }
 
 impl Entry {
     fn open() -> Entry {
-        let (node, log) = (silent_node(), ToldLog::default());
+        let (node, log) = (idle_node(), ToldLog::default());
         let relay = RelayClient::new(HttpTransport::open());
-        let questions = QuestionClient::new(HttpTransport::open());
+        let queries = QueryClient::new(HttpTransport::open());
         let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), 1);
         let reader = Arc::new(CatchUpReader::new(node.clone(), log.clone()));
         let follower = OperatorFollower {
@@ -142,7 +142,7 @@
             decoder: decode,
             is_in_the_dark: false,
         };
-        Entry { desk: JobDesk { node, reader, submitter, relay, questions }, follower, log }
+        Entry { desk: CallerService { node, reader, submitter, relay, queries }, follower, log }
     }
 
     fn node(&self) -> &Arc<JobNode> {
@@ -162,14 +162,14 @@
         self.follower.step().await;
     }
 
-    fn admit(&self, key: PresentedKey) -> Result<CallerAccess, DeskReply> {
+    fn admit(&self, key: PresentedKey) -> Result<CallerAccess, CallerReply> {
         self.desk.admit(&keyed_queue(), key)
     }
 
     fn code(&self, key: PresentedKey) -> Option<ResultCode> {
         match self.admit(key) {
             Ok(_) => None,
-            Err(DeskReply::Refused(code, _)) => Some(code),
+            Err(CallerReply::Refused(code, _)) => Some(code),
             Err(reply) => panic!("{reply:?}"),
         }
     }
@@ -227,7 +227,7 @@
     assert_eq!(entry.code(key("taken")), Some(ResultCode::KeyUnconfirmed));
     assert_eq!(entry.code(key("guess")), Some(ResultCode::KeyUnconfirmed));
     let told = entry.admit(key("taken"));
-    assert!(matches!(told, Err(DeskReply::Refused(_, Some(_)))), "{told:?}");
+    assert!(matches!(told, Err(CallerReply::Refused(_, Some(_)))), "{told:?}");
     entry.read(10, Told::Versions(Vec::new(), true)).await;
     assert_eq!(entry.code(key("taken")), None);
 }
@@ -312,8 +312,8 @@
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
     let asked_ms = entry.node().now();
     advance(Duration::from_millis(200)).await;
-    let answer = ViewAnswer { age_ms: Some(300), ..ViewAnswer::default() };
-    confirm::take(entry.node(), answer, asked_ms);
+    let answer = ConfirmAnswer { age_ms: Some(300), ..ConfirmAnswer::default() };
+    confirm::apply_answer(entry.node(), answer, asked_ms);
     assert_eq!(entry.node().shown_ms(), Some(asked_ms - 300));
     assert_eq!(entry.code(key("key")), None);
     advance(BOUND - Duration::from_millis(500)).await;
@@ -326,12 +326,12 @@
 async fn a_newer_configuration_comes_with_the_answer() {
     let (entry, mut other) = (Entry::confirmed().await, Entry::confirmed().await);
     other.read(10, Told::Versions(vec![2], true)).await;
-    let question = postcard::to_stdvec(&ViewQuestion { version: 1 }).expect("encoded");
+    let question = postcard::to_stdvec(&ConfirmQuery { version: 1 }).expect("encoded");
     let asked_ms = entry.node().now();
     let body = confirm::answer(other.node(), &question).expect("an answer");
     let text = String::from_utf8_lossy(&body);
     assert!(!text.contains("taken") && !text.contains("spare"), "keys must not be sent");
-    confirm::take(entry.node(), postcard::from_bytes(&body).expect("decoded"), asked_ms);
+    confirm::apply_answer(entry.node(), postcard::from_bytes(&body).expect("decoded"), asked_ms);
     assert_eq!(entry.node().config().map(|config| config.version), Some(2));
     assert_eq!(entry.code(key("taken")), Some(ResultCode::UnknownApiKey));
     assert!(confirm::answer(other.node(), b"\xff\xff\xff").is_none());
@@ -347,21 +347,21 @@
     let west = entry.admit(key("spare")).expect("let in");
     let spec = || job(vec![step(1)]);
     entry.node().touch();
-    let (id, gone) = (job_id(1), DeskReply::Refused(ResultCode::UnknownJob, None));
-    assert_eq!(desk.submit(&queue, &east, id, spec(), PATIENCE).await, DeskReply::Stored);
-    assert_eq!(desk.look(&west, id).await, gone);
-    assert_eq!(desk.look(&CallerAccess::default(), id).await, gone);
+    let (id, gone) = (job_id(1), CallerReply::Refused(ResultCode::UnknownJob, None));
+    assert_eq!(desk.submit(&queue, &east, id, spec(), PATIENCE).await, CallerReply::Stored);
+    assert_eq!(desk.job_state(&west, id).await, gone);
+    assert_eq!(desk.job_state(&CallerAccess::default(), id).await, gone);
     assert_eq!(desk.cancel(&queue, &west, id, PATIENCE).await, gone);
-    let taken = DeskReply::Refused(ResultCode::JobIdTaken, None);
+    let taken = CallerReply::Refused(ResultCode::JobIdTaken, None);
     assert_eq!(desk.submit(&queue, &west, id, spec(), PATIENCE).await, taken);
     entry.node().set_config(keyed_config(2, &["key"], &["spare"]));
     let east = entry.admit(key("key")).expect("let in");
-    assert_eq!(desk.look(&east, id).await, DeskReply::State(JobState::Queued));
-    assert_eq!(desk.cancel(&queue, &east, id, PATIENCE).await, DeskReply::Stored);
+    assert_eq!(desk.job_state(&east, id).await, CallerReply::State(JobState::Queued));
+    assert_eq!(desk.cancel(&queue, &east, id, PATIENCE).await, CallerReply::Stored);
     // A job of a queue that is open to all belongs to nobody.
     let open = CallerAccess::default();
-    assert_eq!(desk.submit(&queue, &open, job_id(2), spec(), PATIENCE).await, DeskReply::Stored);
-    assert_eq!(desk.look(&west, job_id(2)).await, DeskReply::State(JobState::Queued));
+    assert_eq!(desk.submit(&queue, &open, job_id(2), spec(), PATIENCE).await, CallerReply::Stored);
+    assert_eq!(desk.job_state(&west, job_id(2)).await, CallerReply::State(JobState::Queued));
 }
 
 #[test]
--- a/tests/behind_log.rs
+++ b/tests/behind_log.rs
@@ -12,7 +12,7 @@
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::record::{JobProgress, JobRecord};
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
-use support::outside::{lead, silent_node};
+use support::fakes::{idle_node, lead};
 use support::stage::{QUEUE, bounds, config, job, job_id, step, submission};
 
 /// End of the log when the first page was made.
@@ -31,15 +31,15 @@
         steps_done: Vec::new(),
         tasks: Vec::new(),
         workers: Vec::new(),
-        setbacks: Vec::new(),
-        seen_ms: Vec::new(),
+        restarts: Vec::new(),
+        last_alive_ms: Vec::new(),
     };
     JobRecord::Progress(job_id(id), Arc::new(progress))
 }
 
 /// An entry that has read these records from the start of the log.
 fn behind(records: Vec<JobRecord>) -> Arc<JobNode> {
-    let node = silent_node();
+    let node = idle_node();
     let end = records.len() as u64;
     node.fold_read((0..).zip(records).collect(), end);
     node
@@ -56,7 +56,7 @@
 }
 
 fn waiting(node: &JobNode) -> u64 {
-    node.book().waiting(QUEUE)
+    node.book().waiting_jobs(QUEUE)
 }
 
 /// Jobs that a leader which takes over from this entry's book would run.
@@ -208,7 +208,7 @@
 /// Guards against a job that is counted or told to the leader twice, as a late page has it and it is read on.
 #[test]
 fn what_a_late_page_has_already_is_read_on_once() {
-    let node = silent_node();
+    let node = idle_node();
     lead(&node);
     renew(&node, &[(302, submitted(1)), (299, submitted(2))]);
     read_on(&node, vec![(301, submitted(3)), (302, submitted(1))], 303);
--- a/tests/desk.rs
+++ b/tests/caller_service.rs
@@ -8,18 +8,18 @@
 
 use ibisweir::decide::access::CallerAccess;
 use ibisweir::error::ResultCode;
+use ibisweir::jobs::caller_service::{CallerReply, CallerService};
 use ibisweir::jobs::catch_up::CatchUpReader;
-use ibisweir::jobs::desk::{DeskReply, JobDesk};
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, ReadOutcome,
 };
-use ibisweir::jobs::question::QuestionClient;
+use ibisweir::jobs::query::QueryClient;
 use ibisweir::jobs::relay::RelayClient;
 use ibisweir::jobs::submitter;
 use ibisweir::logging::silent;
 use ibisweir::transport::HttpTransport;
-use support::outside::AwayLog;
+use support::fakes::UnreachableLog;
 use support::stage::{POOL, QUEUE, job, job_id, queue, site_settings, step};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -47,15 +47,15 @@
     }
 }
 
-fn desk() -> JobDesk<WellLog> {
+fn desk() -> CallerService<WellLog> {
     let logger = ibisweir::logging::silent();
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
     node.touch();
     let relay = RelayClient::new(HttpTransport::open());
-    let questions = QuestionClient::new(HttpTransport::open());
+    let queries = QueryClient::new(HttpTransport::open());
     let submitter = submitter::spawn(node.clone(), WellLog, relay.clone(), 1);
     let reader = Arc::new(CatchUpReader::new(node.clone(), WellLog));
-    JobDesk { node, reader, submitter, relay, questions }
+    CallerService { node, reader, submitter, relay, queries }
 }
 
 /// A caller tries again with a tenth of a second left, and the log takes a fiftieth. It is told that
@@ -67,7 +67,7 @@
     let patience = Duration::from_millis(100);
     let caller = CallerAccess::default();
     let reply = desk().submit(&queue, &caller, job_id(1), job(vec![step(1)]), patience).await;
-    assert_eq!(reply, DeskReply::Stored);
+    assert_eq!(reply, CallerReply::Stored);
 }
 
 /// An entry has restarted and is reading what the log holds; the log itself is well. A caller counts a queue there:
@@ -77,17 +77,17 @@
 async fn an_entry_that_is_behind_the_log_counts_nothing() {
     let (desk, queue) = (desk(), queue(QUEUE, POOL));
     // A busy machine can make the log's last answer old between two lines; then the log counts as away.
-    let is_behind = |reply| matches!(reply, DeskReply::Refused(ResultCode::BehindLog, Some(_)));
+    let is_behind = |reply| matches!(reply, CallerReply::Refused(ResultCode::BehindLog, Some(_)));
     let has_told = (0..100).any(|_| {
         desk.node.touch();
-        let reply = desk.count(&queue);
-        assert!(!matches!(reply, DeskReply::Waiting(_)), "{reply:?}");
+        let reply = desk.own_waiting_jobs(&queue);
+        assert!(!matches!(reply, CallerReply::Waiting(_)), "{reply:?}");
         is_behind(reply)
     });
     assert!(has_told);
     let has_counted = (0..100).any(|_| {
         desk.node.set_current();
-        desk.count(&queue) == DeskReply::Waiting(0)
+        desk.own_waiting_jobs(&queue) == CallerReply::Waiting(0)
     });
     assert!(has_counted);
 }
@@ -117,11 +117,11 @@
         node.turned_away();
     }
     let relay = RelayClient::new(HttpTransport::open());
-    let questions = QuestionClient::new(HttpTransport::open());
-    let submitter = submitter::spawn(node.clone(), AwayLog, relay.clone(), 1);
-    let reader = Arc::new(CatchUpReader::new(node.clone(), AwayLog));
-    let desk = JobDesk { node, reader, submitter, relay, questions };
-    let reply = desk.look(&CallerAccess::default(), job_id(1)).await;
+    let queries = QueryClient::new(HttpTransport::open());
+    let submitter = submitter::spawn(node.clone(), UnreachableLog, relay.clone(), 1);
+    let reader = Arc::new(CatchUpReader::new(node.clone(), UnreachableLog));
+    let desk = CallerService { node, reader, submitter, relay, queries };
+    let reply = desk.job_state(&CallerAccess::default(), job_id(1)).await;
     let is_open = |code| matches!(code, ResultCode::LogAway | ResultCode::BehindLog);
-    assert!(matches!(reply, DeskReply::Refused(code, Some(_)) if is_open(code)), "{reply:?}");
+    assert!(matches!(reply, CallerReply::Refused(code, Some(_)) if is_open(code)), "{reply:?}");
 }
--- a/tests/catch_up.rs
+++ b/tests/catch_up.rs
@@ -161,7 +161,7 @@
 #[test]
 fn a_read_that_is_answered_late_brings_no_dropped_job_back() {
     let node = node();
-    let dropped = JobRecord::drops(job_id(7)).pop().expect("the submission's key");
+    let dropped = JobRecord::drop_records(job_id(7)).pop().expect("the submission's key");
     let whole = vec![(0, submitted(7)), (1, dropped)];
     let part = vec![(0, submitted(7))];
     fold_step(&node, TailStep::Records(whole), 2);
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -15,14 +15,14 @@
 use ibisweir::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
 use ibisweir::jobs::model::StepKey;
 use ibisweir::jobs::node::JobNode;
-use ibisweir::jobs::patience::PatienceGauge;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, PermitClient, PermitGrant,
     ReadOutcome, VmClient, VmCommand, VmOutcome, VmStamp,
 };
 use ibisweir::jobs::record::KeyedRecord;
 use ibisweir::jobs::site::VmEntry;
-use support::outside::{AnswerMode, NotedWorkers};
+use ibisweir::jobs::timeout_estimator::TimeoutEstimator;
+use support::fakes::{AnswerMode, RecordingWorkers};
 use support::stage::{config, site_settings};
 use tokio::time::{Instant, sleep};
 
@@ -138,14 +138,14 @@
     }
 }
 
-fn leadership(log: LossyLog) -> LeadershipLoop<LossyLog, NotedWorkers, Nobody, Nobody> {
+fn leadership(log: LossyLog) -> LeadershipLoop<LossyLog, RecordingWorkers, Nobody, Nobody> {
     let logger = ibisweir::logging::silent();
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
     node.set_config(config());
     node.set_loaded();
     let parts = ConductorParts {
         log,
-        workers: NotedWorkers::new(AnswerMode::Silent),
+        workers: RecordingWorkers::new(AnswerMode::Silent),
         vms: Nobody,
         permits: Nobody,
         worker_decoder: |_| None,
@@ -158,7 +158,7 @@
         view: LeadershipView::default(),
         conductor: None,
         is_in_doubt: false,
-        patience: PatienceGauge::new(APPEND_PATIENCE),
+        patience: TimeoutEstimator::new(APPEND_PATIENCE),
         pending: None,
     }
 }
--- a/tests/delegate.rs
+++ b/tests/delegate.rs
@@ -22,14 +22,14 @@
 use ibisweir::scheduler::{Scheduler, SchedulerAction};
 use ibisweir::transport::HttpTransport;
 use support::PATIENCE;
-use support::outside::{AnswerMode, NotedWorkers, lead, peer_service, silent_node};
+use support::fakes::{AnswerMode, RecordingWorkers, idle_node, lead, peer_service};
 use support::stage::{WALL_OFFSET_MS, config, job, job_id, step, submission, task, worker};
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
 /// An entry that has read job 1 from the log.
 fn executor() -> Arc<JobNode> {
-    let node = silent_node();
+    let node = idle_node();
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(4)]))));
     node.fold(&[(0, record)]);
     node
@@ -59,7 +59,7 @@
 /// The executor takes the job's text from its own copy of the log.
 #[tokio::test]
 async fn an_executor_starts_with_the_text_of_its_own_book() {
-    let (node, workers) = (executor(), NotedWorkers::default());
+    let (node, workers) = (executor(), RecordingWorkers::default());
     let body = batch(&node, vec![start(1, 0), start(1, 1)]);
     let outcomes = carry_out(&node, &workers, &body).await;
     assert_eq!(outcomes, Some(vec![DelegatedOutcome::Done(40); 2]));
@@ -71,7 +71,7 @@
 /// sends the start at once another way; the other starts of the batch go out.
 #[tokio::test]
 async fn what_an_executor_does_not_know_is_left_to_the_leader() {
-    let (node, workers) = (executor(), NotedWorkers::default());
+    let (node, workers) = (executor(), RecordingWorkers::default());
     let body = batch(&node, vec![start(2, 0), start(1, 0)]);
     let outcomes = carry_out(&node, &workers, &body).await;
     assert_eq!(outcomes, Some(vec![DelegatedOutcome::NotSent, DelegatedOutcome::Done(40)]));
@@ -88,8 +88,8 @@
         steps_done: Vec::new(),
         tasks: Vec::new(),
         workers: Vec::new(),
-        setbacks: Vec::new(),
-        seen_ms: Vec::new(),
+        restarts: Vec::new(),
+        last_alive_ms: Vec::new(),
     };
     JobRecord::Progress(job_id(1), Arc::new(progress))
 }
@@ -100,7 +100,7 @@
 async fn an_executor_starts_nothing_of_a_job_that_it_knows_to_be_over() {
     let ends = [JobRecord::Cancelled(job_id(1)), over(JobState::Completed), over(JobState::Failed)];
     for end in ends {
-        let (node, workers) = (executor(), NotedWorkers::default());
+        let (node, workers) = (executor(), RecordingWorkers::default());
         node.fold(&[(1, end.clone())]);
         let outcomes = carry_out(&node, &workers, &batch(&node, vec![start(1, 0)])).await;
         assert_eq!(outcomes, Some(vec![DelegatedOutcome::NotSent]), "{end:?}");
@@ -111,7 +111,7 @@
 /// Guards against tasks that begin with an empty text: the log keeps no spec of a job that is over.
 #[tokio::test]
 async fn an_executor_starts_nothing_without_the_jobs_text() {
-    let (node, workers) = (silent_node(), NotedWorkers::default());
+    let (node, workers) = (idle_node(), RecordingWorkers::default());
     let bare = submission(job(vec![step(4)])).without_spec();
     node.fold(&[(0, JobRecord::Submitted(job_id(1), Arc::new(bare)))]);
     let outcomes = carry_out(&node, &workers, &batch(&node, vec![start(1, 0)])).await;
@@ -124,7 +124,7 @@
 /// was meant for the process before this one is as old. Neither is begun.
 #[tokio::test]
 async fn a_batch_that_comes_late_is_not_begun() {
-    let (node, workers) = (executor(), NotedWorkers::default());
+    let (node, workers) = (executor(), RecordingWorkers::default());
     let starts = vec![start(1, 0)];
     let late = ExecutorStamp { life: node.life, sent_ms: node.now() };
     let foreign = ExecutorStamp { life: node.life ^ 1, sent_ms: node.now() + AHEAD_MS };
@@ -140,7 +140,7 @@
 
 /// A leader with one placed task whose start is due, and the order for it.
 fn leader() -> (Arc<JobNode>, StartOrder) {
-    let leader = silent_node();
+    let leader = idle_node();
     lead(&leader);
     let now = leader.now();
     let order = leader.with_scheduler(|scheduler| first_start(scheduler, now));
@@ -153,7 +153,7 @@
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
     scheduler.take_record(&record, now);
     let fence = scheduler.fence();
-    let renewal = RenewCall { fence, exits_through: 0, lease_until_ms: None, wait: Duration::ZERO };
+    let renewal = RenewCall { fence, acked_exits: 0, lease_until_ms: None, wait: Duration::ZERO };
     let report = WorkerReport { clock_ms: 30, ..WorkerReport::default() };
     scheduler.handle_renewal_outcome(
         &"w0".into(),
@@ -186,7 +186,7 @@
 async fn hand_on(
     leader: &Arc<JobNode>,
     order: &StartOrder,
-    workers: Option<NotedWorkers>,
+    workers: Option<RecordingWorkers>,
     is_over: impl Fn() -> bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -229,7 +229,7 @@
 #[tokio::test]
 async fn the_leader_hears_what_became_of_a_start() {
     let (leader, order) = leader();
-    let workers = NotedWorkers::default();
+    let workers = RecordingWorkers::default();
     hand_on(&leader, &order, Some(workers.clone()), || !is_due(&leader, &order)).await;
     assert!(!workers.starts().is_empty());
 }
@@ -238,7 +238,7 @@
 #[tokio::test]
 async fn a_refusal_reaches_the_leader() {
     let (leader, order) = leader();
-    let workers = NotedWorkers::new(AnswerMode::NoRoom);
+    let workers = RecordingWorkers::new(AnswerMode::NoCapacity);
     hand_on(&leader, &order, Some(workers), || !is_due(&leader, &order)).await;
     let runs = leader.with_scheduler(|scheduler| scheduler.census().runs);
     assert_eq!(runs, Some(0));
@@ -267,7 +267,7 @@
 #[tokio::test]
 async fn a_start_without_an_answer_stays_in_doubt() {
     let (leader, order) = leader();
-    let workers = NotedWorkers::new(AnswerMode::Silent);
+    let workers = RecordingWorkers::new(AnswerMode::Silent);
     let is_told = || leader.metrics.text().contains("no_answer");
     hand_on(&leader, &order, Some(workers), is_told).await;
     assert!(is_due(&leader, &order));
@@ -278,7 +278,7 @@
 #[tokio::test]
 async fn a_start_whose_call_panics_stays_in_doubt() {
     let (leader, order) = leader();
-    let workers = NotedWorkers::new(AnswerMode::Panics);
+    let workers = RecordingWorkers::new(AnswerMode::Panics);
     let is_told = || leader.metrics.text().contains("ibisweir_job_starts_total{");
     hand_on(&leader, &order, Some(workers.clone()), is_told).await;
     assert!(!workers.starts().is_empty());
@@ -290,12 +290,15 @@
 /// there are hundreds of entries, hardly any has stored something through the leader a moment ago.
 #[tokio::test]
 async fn an_entry_that_the_log_turns_away_learns_that_the_leader_stores() {
-    let (leader, entry) = (silent_node(), silent_node());
+    let (leader, entry) = (idle_node(), idle_node());
     lead(&leader);
     entry.set_config(config());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     entry.set_leader(Some(listener.local_addr().expect("bound")));
-    tokio::spawn(relay::accept(listener, peer_service(leader.clone(), NotedWorkers::default())));
+    tokio::spawn(relay::accept(
+        listener,
+        peer_service(leader.clone(), RecordingWorkers::default()),
+    ));
     while !entry.is_log_away() {
         sleep(Duration::from_millis(20)).await;
     }
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -13,7 +13,7 @@
 };
 use ibisweir::jobs::record::KeyedRecord;
 use ibisweir::jobs::site::{OperatorRecord, SiteConfig};
-use support::outside::silent_node;
+use support::fakes::idle_node;
 use support::stage::config;
 
 /// Keys in the log, ten to a page.
@@ -137,7 +137,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_is_behind_the_operators_goes_on_with_the_newest_configuration() {
     let log = StormLog::default();
-    let node = silent_node();
+    let node = idle_node();
     let mut follower = OperatorFollower {
         node: node.clone(),
         log: log.clone(),
--- a/tests/job_records.rs
+++ b/tests/job_records.rs
@@ -8,11 +8,11 @@
 use ibisweir::decide::access::CallerMark;
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::record::{
-    JobProgress, JobRecord, KeyedRecord, LossCount, LostVm, TaskProgress, TaskSetbacks,
+    JobProgress, JobRecord, KeyedRecord, LossCount, LostVm, TaskProgress, TaskRestarts,
 };
 use support::stage::{job_id, task};
 
-fn progress(setbacks: Vec<TaskSetbacks>) -> JobProgress {
+fn progress(restarts: Vec<TaskRestarts>) -> JobProgress {
     let task = TaskProgress {
         occurrence: 0,
         step: 0,
@@ -31,16 +31,16 @@
         steps_done: vec![(0, 1)],
         tasks: vec![task],
         workers: vec!["w1".into()],
-        seen_ms: vec![1_700; setbacks.len()],
-        setbacks,
+        last_alive_ms: vec![1_700; restarts.len()],
+        restarts,
     }
 }
 
 #[test]
 fn setbacks_of_a_task_are_read_back() {
-    let losses = LossCount { all: 2, at_start: 1 };
-    let setbacks = vec![TaskSetbacks { occurrence: 0, step: 0, index: 3, losses, moves: 1 }];
-    let record = JobRecord::Progress(job_id(1), Arc::new(progress(setbacks)));
+    let losses = LossCount { total: 2, at_start: 1 };
+    let restarts = vec![TaskRestarts { occurrence: 0, step: 0, index: 3, losses, moves: 1 }];
+    let record = JobRecord::Progress(job_id(1), Arc::new(progress(restarts)));
     let keyed = record.encode().expect("a record");
     assert_eq!(JobRecord::decode(&keyed.key, &keyed.value), Some(record));
 }
@@ -49,7 +49,7 @@
 #[test]
 fn losses_of_a_pool_are_read_back() {
     let address = SocketAddr::from(([127, 0, 0, 2], 9_000));
-    let lost = LostVm { address, lost_ms: 1_700, aboard: vec![task(job_id(4), 0, 1)] };
+    let lost = LostVm { address, lost_ms: 1_700, running_tasks: vec![task(job_id(4), 0, 1)] };
     let record = JobRecord::Losses("render".into(), Arc::new(vec![lost]));
     let keyed = record.encode().expect("a record");
     assert_eq!(keyed.key, "lrender");
@@ -71,9 +71,9 @@
 /// version that knows nothing of those of this one.
 #[test]
 fn a_record_is_read_without_the_times_of_last_runs() {
-    let losses = LossCount { all: 2, at_start: 1 };
-    let setbacks = vec![TaskSetbacks { occurrence: 0, step: 0, index: 3, losses, moves: 1 }];
-    let told = JobProgress { seen_ms: Vec::new(), ..progress(setbacks) };
+    let losses = LossCount { total: 2, at_start: 1 };
+    let restarts = vec![TaskRestarts { occurrence: 0, step: 0, index: 3, losses, moves: 1 }];
+    let told = JobProgress { last_alive_ms: Vec::new(), ..progress(restarts) };
     let record = JobRecord::Progress(job_id(1), Arc::new(told));
     let keyed = record.encode().expect("a record");
     let (last, before) = keyed.value.split_last().expect("not empty");
--- a/tests/book_model.rs
+++ b/tests/job_table_model.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 use ibisweir::decide::access::CallerMark;
-use ibisweir::jobs::book::JobBook;
 use ibisweir::jobs::catch_up::CatchUpReader;
 use ibisweir::jobs::follower::{TailReader, fold_step};
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{JobId, JobState};
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
@@ -24,7 +24,7 @@
 use ibisweir::jobs::record::{JobProgress, JobRecord, KeyedRecord};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::outside::silent_node;
+use support::fakes::idle_node;
 use support::stage::{QUEUE, job, job_id, step, submission};
 
 const RUNS: u64 = 400;
@@ -39,7 +39,7 @@
     /// Oldest record that is kept.
     first: usize,
     /// All of it, folded in order.
-    told: JobBook,
+    told: JobTable,
     random: StdRng,
     node: Arc<JobNode>,
     /// Whether the entry leads: it alone ends and drops jobs then.
@@ -105,7 +105,7 @@
         };
         let records = match &record {
             JobRecord::Dropped(id) => {
-                let mut records = JobRecord::drops(*id);
+                let mut records = JobRecord::drop_records(*id);
                 records.push(JobRecord::drop_tombstone(*id, mark));
                 records
             }
@@ -124,8 +124,8 @@
         steps_done: Vec::new(),
         tasks: Vec::new(),
         workers: Vec::new(),
-        setbacks: Vec::new(),
-        seen_ms: Vec::new(),
+        restarts: Vec::new(),
+        last_alive_ms: Vec::new(),
     };
     JobRecord::Progress(id, Arc::new(progress))
 }
@@ -210,11 +210,11 @@
     let mut pinned = 0xB00C;
     support::seeded(pinned, |seed| pinned = seed);
     for seed in pinned..pinned + RUNS {
-        let node = silent_node();
+        let node = idle_node();
         let world = World {
             records: Vec::new(),
             first: 0,
-            told: JobBook::default(),
+            told: JobTable::default(),
             random: StdRng::seed_from_u64(seed),
             node: node.clone(),
             leads: seed % 2 == 0,
@@ -237,6 +237,6 @@
             let known = node.book().get(id).and_then(|job| job.state());
             assert_eq!(known, told, "seed {seed}: {id}");
         }
-        assert_eq!(node.book().waiting(QUEUE), world.told.waiting(QUEUE), "seed {seed}");
+        assert_eq!(node.book().waiting_jobs(QUEUE), world.told.waiting_jobs(QUEUE), "seed {seed}");
     }
 }
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -14,7 +14,7 @@
 use ibisweir::jobs::record::JobRecord;
 use ibisweir::jobs::site::SiteSettings;
 use ibisweir::scheduler::SchedulerAction;
-use support::outside::{AnswerMode, NotedWorkers, lead, node_with, succeed};
+use support::fakes::{AnswerMode, RecordingWorkers, lead, node_with, succeed};
 use support::stage::{
     Stage, WALL_OFFSET_MS, config, job, job_id, site_settings, step, submission, task, worker,
 };
@@ -24,8 +24,8 @@
 /// A leader with lanes, on one worker of eight cores.
 struct LaneStage {
     node: Arc<JobNode>,
-    lanes: Arc<WorkerLanes<NotedWorkers>>,
-    workers: NotedWorkers,
+    lanes: Arc<WorkerLanes<RecordingWorkers>>,
+    workers: RecordingWorkers,
     tasks: JoinSet<()>,
 }
 
@@ -48,7 +48,7 @@
     }
 
     fn open_on(node: Arc<JobNode>, mode: AnswerMode) -> LaneStage {
-        let workers = NotedWorkers::new(mode);
+        let workers = RecordingWorkers::new(mode);
         let (lanes, delegate) = WorkerLanes::open(node.clone(), workers.clone());
         let mut tasks = JoinSet::new();
         tasks.spawn(delegate.run());
@@ -63,7 +63,7 @@
             scheduler.workers_listed(vec![worker("w0", "r0")], now);
             let renewal = RenewCall {
                 fence: scheduler.fence(),
-                exits_through: 0,
+                acked_exits: 0,
                 lease_until_ms: None,
                 wait: Duration::ZERO,
             };
@@ -250,7 +250,7 @@
     stage.take(&JobRecord::Cancelled(job_id(1)));
     sleep(Duration::from_millis(100)).await;
     assert_eq!(stage.workers.stops().len(), 8);
-    assert_eq!(stage.workers.most_stopping(), 1);
+    assert_eq!(stage.workers.max_concurrent_stops(), 1);
 }
 
 /// Guards against stops that wait for the answer to a throttle.
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -18,7 +18,7 @@
 use ibisweir::transport::HttpTransport;
 use ibisweir_standin::jobs::log::LogStandin;
 use ibisweir_standin::jobs::proxy::{FaultProxy, LinkFault};
-use support::outside::{NotedWorkers, silent_node};
+use support::fakes::{RecordingWorkers, idle_node};
 use support::stage::{config, job, job_id, step, submission};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -234,11 +234,11 @@
 async fn a_leader_gets_its_backlog_through_a_narrow_link() {
     let log = LogStandin::open().await.expect("a port");
     let link = FaultProxy::open(log.address).await.expect("a port");
-    let node = silent_node();
+    let node = idle_node();
     node.set_config(config());
     let parts = ConductorParts {
         log: PlatformLog::new(link.address, HttpTransport::open()),
-        workers: NotedWorkers::default(),
+        workers: RecordingWorkers::default(),
         vms: Nobody,
         permits: Nobody,
         worker_decoder: |_| None,
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use ibisweir::decide::access::CallerMark;
-use ibisweir::jobs::book::JobBook;
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::record::{JobProgress, JobRecord};
 use ibisweir::scheduler::worker::WorkerRun;
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
-use support::outside::{lead, silent_node};
+use support::fakes::{idle_node, lead};
 use support::stage::{
     START_MS, Stage, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task, worker,
 };
@@ -25,7 +25,7 @@
 /// moved the book's end over a cancellation, and waits for the scheduler, when an append of the leader's is folded.
 #[test]
 fn a_view_of_the_jobs_does_not_count_before_the_scheduler_was_told() {
-    let node = silent_node();
+    let node = idle_node();
     lead(&node);
     node.fold_own(&[], 0, 0);
     let reader = node.clone();
@@ -53,7 +53,7 @@
     let next = stage.begin_anew("w1@0");
     // Its leader is cut off from it, and reads of the cancellation.
     stage.mutes_renewals = true;
-    stage.workers.get_mut(&next).expect("known").born_ms = stage.now;
+    stage.workers.get_mut(&next).expect("known").started_ms = stage.now;
     stage.append(&JobRecord::Cancelled(id));
     stage.now += bounds().cancel_ms + 1_000;
     stage.deliver_late(&next);
@@ -174,7 +174,7 @@
 /// process learned of the end.
 #[test]
 fn a_successor_drops_what_it_has_known_to_be_over_for_long() {
-    let node = silent_node();
+    let node = idle_node();
     let progress = JobProgress {
         term: 1,
         state: JobState::Completed,
@@ -183,8 +183,8 @@
         steps_done: Vec::new(),
         tasks: Vec::new(),
         workers: Vec::new(),
-        setbacks: Vec::new(),
-        seen_ms: Vec::new(),
+        restarts: Vec::new(),
+        last_alive_ms: Vec::new(),
     };
     let records = vec![
         (0, JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))))),
@@ -232,7 +232,7 @@
     stage.log_is_up = false;
     stage.advance(bounds().status_ms + 31_000);
     stage.scheduler.relay(7, vec![JobRecord::Cancelled(id)], stage.now);
-    let mut book = JobBook::default();
+    let mut book = JobTable::default();
     let mut end = START_MS;
     let mut is_acknowledged = false;
     while let Some(batch) = stage.scheduler.take_commit() {
--- a/tests/own_appends.rs
+++ b/tests/own_appends.rs
@@ -6,7 +6,7 @@
 
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::record::JobRecord;
-use support::outside::{lead, silent_node};
+use support::fakes::{idle_node, lead};
 use support::stage::{job, job_id, step, submission};
 
 fn record(id: u64) -> JobRecord {
@@ -14,7 +14,7 @@
 }
 
 fn leader() -> Arc<JobNode> {
-    let node = silent_node();
+    let node = idle_node();
     lead(&node);
     node
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -102,7 +102,7 @@
         count(family, "reason");
     }
     jobs.traffic.count("/call", 1, None);
-    jobs.measure_traffic();
+    jobs.update_traffic();
     jobs.set_organisations([("name", 1, 1)].into_iter());
     let coded: BTreeSet<String> = metrics
         .text()
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -67,7 +67,7 @@
     let target = WorkerTarget { id: "i-old".into(), address };
     let call = RunCall { task: task(), run: 3, fence: 77 };
     let outcome = workers.stop(&target, &call, PATIENCE).await;
-    assert_eq!(outcome, CommandOutcome::Refused(CommandRefusal::WrongLife, None));
+    assert_eq!(outcome, CommandOutcome::Refused(CommandRefusal::WrongIncarnation, None));
     let seen = served.await.expect("served");
     assert!(seen.contains("expect-instance: i-old"), "{seen}");
     assert!(seen.contains("\"fence\":77") && seen.contains("\"run\":3"), "{seen}");
@@ -81,7 +81,7 @@
     let workers = PlatformWorkers::new(HttpTransport::open());
     let target = WorkerTarget { id: "i-1".into(), address };
     let wait = Duration::from_millis(500);
-    let call = RenewCall { fence: 9, exits_through: 57, lease_until_ms: Some(486_000), wait };
+    let call = RenewCall { fence: 9, acked_exits: 57, lease_until_ms: Some(486_000), wait };
     let outcome = workers.renew(&target, &call, PATIENCE).await;
     assert!(matches!(outcome, CommandOutcome::Done(report) if report.clock_ms == 5));
     let seen = served.await.expect("served");
@@ -263,7 +263,7 @@
     let address = listener.local_addr().expect("bound");
     let workers = PlatformWorkers::new(HttpTransport::open());
     let target = WorkerTarget { id: "w".into(), address };
-    let call = RenewCall { fence: 1, exits_through: 0, lease_until_ms: None, wait: Duration::ZERO };
+    let call = RenewCall { fence: 1, acked_exits: 0, lease_until_ms: None, wait: Duration::ZERO };
     let (first, second) = (workers.clone(), workers.clone());
     let (one, two) = (target.clone(), target.clone());
     // Two calls at a time leave two connections, of which each answers once.
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -10,7 +10,7 @@
 use ibisweir::jobs::relay::{self, RelayClient, RelayOutcome};
 use ibisweir::scheduler::Scheduler;
 use ibisweir::transport::HttpTransport;
-use support::outside::{NotedWorkers, lead, peer_service, silent_node};
+use support::fakes::{RecordingWorkers, idle_node, lead, peer_service};
 use support::stage::{job, job_id, step, submission};
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
@@ -18,12 +18,15 @@
 
 /// A leader whose commits the test makes, and an entry that hands it a batch.
 async fn hand_over() -> (Arc<JobNode>, JoinHandle<RelayOutcome>) {
-    let leader = silent_node();
+    let leader = idle_node();
     lead(&leader);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    tokio::spawn(relay::accept(listener, peer_service(leader.clone(), NotedWorkers::default())));
-    let entry = silent_node();
+    tokio::spawn(relay::accept(
+        listener,
+        peer_service(leader.clone(), RecordingWorkers::default()),
+    ));
+    let entry = idle_node();
     entry.set_leader(Some(address));
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
     let handed = tokio::spawn(async move {
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -20,12 +20,12 @@
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, ReadOutcome,
 };
-use ibisweir::jobs::question::{JobAnswer, JobQuestion, QuestionClient};
+use ibisweir::jobs::query::{JobAnswer, JobQuery, QueryClient};
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
 use ibisweir::jobs::relay;
 use ibisweir::jobs::site::SiteSettings;
 use ibisweir::transport::HttpTransport;
-use support::outside::{NotedWorkers, node_with, peer_service, silent_node};
+use support::fakes::{RecordingWorkers, idle_node, node_with, peer_service};
 use support::stage::{job, job_id, site_settings, step, submission};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
@@ -289,7 +289,7 @@
 /// Guards against an entry that leads by a part of the jobs: what it read for a copy that it has given up.
 #[tokio::test(start_paused = true)]
 async fn what_was_read_for_an_earlier_copy_is_not_folded() {
-    let (log, node) = (HeldLog::default(), silent_node());
+    let (log, node) = (HeldLog::default(), idle_node());
     let (tail, copy) = (TailReader::new(LogTopic::Jobs), node.copy());
     let mut follower = JobFollower { node: node.clone(), log: log.clone(), tail, copy };
     let reading = tokio::spawn(async move { follower.step().await });
@@ -304,7 +304,7 @@
 
 /// An entry with a copy that has job 1, served on a port.
 async fn copy_with_job(is_log_well: bool) -> (Arc<JobNode>, SocketAddr) {
-    let node = silent_node();
+    let node = idle_node();
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
     node.fold_newest(&[(0, record)], 1);
     node.set_loaded();
@@ -314,7 +314,7 @@
     }
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    tokio::spawn(relay::accept(listener, peer_service(node.clone(), NotedWorkers::default())));
+    tokio::spawn(relay::accept(listener, peer_service(node.clone(), RecordingWorkers::default())));
     (node, address)
 }
 
@@ -324,7 +324,7 @@
     for replica in replicas {
         list.add(&"regina-a".into(), *replica);
     }
-    let node = silent_node();
+    let node = idle_node();
     node.set_replicas(&list, false);
     node
 }
@@ -340,11 +340,11 @@
 async fn a_question_goes_on_to_the_next_copy() {
     let (copy, address) = copy_with_job(true).await;
     let node = asking(&[closed_port().await, address]);
-    let client = QuestionClient::new(HttpTransport::open());
+    let client = QueryClient::new(HttpTransport::open());
     for _ in 0..4 {
         // A busy machine can make the log's last answer old between two lines.
         copy.touch();
-        let answer = client.ask(&node, &JobQuestion::Job(job_id(1))).await;
+        let answer = client.ask(&node, &JobQuery::Job(job_id(1))).await;
         let known = match answer {
             Some(JobAnswer::Job(Some(known)) | JobAnswer::Stale(known)) => known,
             other => panic!("{other:?}"),
@@ -359,12 +359,12 @@
 async fn a_copy_whose_log_is_away_tells_what_it_has_and_denies_nothing() {
     let (_copy, address) = copy_with_job(false).await;
     let node = asking(&[address]);
-    let client = QuestionClient::new(HttpTransport::open());
-    let known = client.ask(&node, &JobQuestion::Job(job_id(1))).await;
+    let client = QueryClient::new(HttpTransport::open());
+    let known = client.ask(&node, &JobQuery::Job(job_id(1))).await;
     assert!(matches!(known, Some(JobAnswer::Stale(_))), "{known:?}");
-    let client = QuestionClient::new(HttpTransport::open());
-    assert_eq!(client.ask(&node, &JobQuestion::Job(job_id(2))).await, None);
-    assert_eq!(client.ask(&node, &JobQuestion::Waiting("holds".into())).await, None);
+    let client = QueryClient::new(HttpTransport::open());
+    assert_eq!(client.ask(&node, &JobQuery::Job(job_id(2))).await, None);
+    assert_eq!(client.ask(&node, &JobQuery::Waiting("holds".into())).await, None);
 }
 
 /// Guards against an entry without a whole copy that answers for others.
@@ -373,6 +373,6 @@
     let (copy, address) = copy_with_job(true).await;
     copy.set_replicas(&ReplicaList::default(), false);
     let node = asking(&[address]);
-    let client = QuestionClient::new(HttpTransport::open());
-    assert_eq!(client.ask(&node, &JobQuestion::Job(job_id(1))).await, None);
+    let client = QueryClient::new(HttpTransport::open());
+    assert_eq!(client.ask(&node, &JobQuery::Job(job_id(1))).await, None);
 }
--- a/tests/scheduler_behind.rs
+++ b/tests/scheduler_behind.rs
@@ -23,7 +23,7 @@
 fn answer_late(stage: &mut Stage, id: &str) {
     let call = RenewCall {
         fence: 1_024,
-        exits_through: 0,
+        acked_exits: 0,
         lease_until_ms: None,
         wait: std::time::Duration::ZERO,
     };
@@ -262,8 +262,8 @@
             stage.advance(20);
         }
         let progress = stage.book.get(id).and_then(|job| job.progress.clone()).expect("on the log");
-        let told = progress.setbacks[0].losses;
-        assert_eq!((told.all, told.at_start), (losses, 0));
+        let told = progress.restarts[0].losses;
+        assert_eq!((told.total, told.at_start), (losses, 0));
     }
     assert_eq!(stage.state(id), Some(JobState::Running));
 }
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -148,7 +148,7 @@
     assert_eq!(maintained(&stage).len(), 2);
     let mut down = list.clone();
     let is_begun = |vm: &VmEntry| maintained(&stage).contains(&vm.vm);
-    down.iter_mut().filter(|vm| is_begun(vm)).for_each(|vm| vm.state = VmState::Maintained);
+    down.iter_mut().filter(|vm| is_begun(vm)).for_each(|vm| vm.state = VmState::InMaintenance);
     stage.scheduler.take_vms(down, stage.now, stage.now);
     stage.advance(500);
     assert_eq!(maintained(&stage).len(), 2, "they are still down");
@@ -424,7 +424,11 @@
     let mut config = config();
     config.queues.push(queue(OTHER_QUEUE, OTHER_POOL));
     config.pools.retain(|pool| !pool.is_standby);
-    config.pools.push(PoolSpec { name: OTHER_POOL.into(), is_guarded: true, is_standby: false });
+    config.pools.push(PoolSpec {
+        name: OTHER_POOL.into(),
+        has_admission_check: true,
+        is_standby: false,
+    });
     config
 }
 
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -87,7 +87,7 @@
 /// What the log tells of the workers lost under a task.
 fn told_losses(stage: &Stage, key: TaskKey) -> LossCount {
     let progress = stage.book.get(key.job).and_then(|job| job.progress.clone());
-    let setbacks = progress.map(|progress| progress.setbacks.clone()).unwrap_or_default();
+    let setbacks = progress.map(|progress| progress.restarts.clone()).unwrap_or_default();
     let told = setbacks.iter().find(|told| (told.step, told.index) == (key.step, key.index));
     told.map(|told| told.losses).unwrap_or_default()
 }
@@ -143,7 +143,7 @@
     let key = task(id, 0, 0);
     stage.advance(20);
     let gone: Arc<str> = "w1".into();
-    let refusal = CommandOutcome::Refused(CommandRefusal::WrongLife, None);
+    let refusal = CommandOutcome::Refused(CommandRefusal::WrongIncarnation, None);
     stage.scheduler.handle_start_outcome(&gone, &key, 1, &refusal, stage.now);
     stage.crash("w1");
     stage.scheduler.handle_stop_outcome(&gone, &key, 1, &refusal, stage.now);
@@ -152,7 +152,7 @@
     stage.scheduler.worker_unlisted(&gone, stage.now);
     stage.advance(1_000);
 
-    assert_eq!(told_losses(&stage, key), LossCount { all: 1, at_start: 1 });
+    assert_eq!(told_losses(&stage, key), LossCount { total: 1, at_start: 1 });
 }
 
 /// A worker is cut off for so long that its leases run out; the tasks start elsewhere, and what is known then
@@ -167,7 +167,7 @@
     stage.workers.get_mut(&place).expect("known").is_silent = true;
     stage.advance(8_000);
     assert_eq!(stage.starts(key), 2);
-    assert_eq!(told_losses(&stage, key).all, 1);
+    assert_eq!(told_losses(&stage, key).total, 1);
 
     stage.workers.get_mut(&place).expect("known").is_silent = false;
     stage.advance(1_000);
@@ -350,7 +350,7 @@
         stage.advance(100);
         stage.crash(id);
     }
-    assert_eq!(told_losses(&stage, key), LossCount { all: 1, at_start: 1 });
+    assert_eq!(told_losses(&stage, key), LossCount { total: 1, at_start: 1 });
     work(&mut stage, 5_000);
     assert_eq!(stage.starts(key), 2, "the one that was lost and the one that is done");
     assert!(are_completed(&stage, &[id]));
@@ -504,7 +504,7 @@
         let place = stage.place(key);
         stage.crash(&place);
     }
-    assert_eq!(told_losses(&stage, key).all, 5);
+    assert_eq!(told_losses(&stage, key).total, 5);
     assert_eq!(stage.state(id), Some(JobState::Running), "the verdict waits");
     stage.take_over(2, config());
     stage.advance(3_000);
@@ -525,7 +525,7 @@
     let place = stage.place(key);
     let other = stage.workers.keys().find(|id| **id != place).cloned().expect("another");
     stage.crash_all(&[&place, &other]);
-    assert_eq!(told_losses(stage, key).all, 3);
+    assert_eq!(told_losses(stage, key).total, 3);
     key
 }
 
@@ -568,7 +568,7 @@
     }
     let other = stage.workers.keys().find(|id| **id != place).cloned().expect("another");
     stage.crash_all(&[&place, &other]);
-    assert_eq!(told_losses(stage, key).all, 3);
+    assert_eq!(told_losses(stage, key).total, 3);
     key
 }
 
@@ -614,7 +614,7 @@
         stage.advance(70_000);
         stage.crash(&stage.place(key));
     }
-    assert_eq!((told_losses(&stage, key).all, stage.alive(key)), (3, 0));
+    assert_eq!((told_losses(&stage, key).total, stage.alive(key)), (3, 0));
     stage.advance(1_600);
     submit_bad(&mut stage, 2, job(vec![step(1)]));
     stage.advance(900);
@@ -665,7 +665,7 @@
         let all: Vec<Arc<str>> = stage.workers.keys().cloned().collect();
         stage.crash_all(&all.iter().map(|id| &**id).collect::<Vec<_>>());
     }
-    assert_eq!(told_losses(&stage, task(id, 0, 0)).all, 3);
+    assert_eq!(told_losses(&stage, task(id, 0, 0)).total, 3);
     stage.advance(2_000);
     let starts: Vec<usize> = (0..4).map(|index| stage.starts(task(id, 0, index))).collect();
     assert_eq!(starts, vec![3; 4]);
@@ -685,7 +685,7 @@
         stage.begin_anew(&present);
         stage.show_rebirths();
     }
-    assert_eq!(told_losses(&stage, task(id, 0, 0)).all, 1);
+    assert_eq!(told_losses(&stage, task(id, 0, 0)).total, 1);
 }
 
 /// Guards against a neighbour that is given up for a loss of which another task is convicted in the same moment.
@@ -700,7 +700,7 @@
         stage.crash(&stage.place(key));
     }
     stage.advance(70_000);
-    assert_eq!((told_losses(&stage, key).all, stage.alive(key)), (3, 1));
+    assert_eq!((told_losses(&stage, key).total, stage.alive(key)), (3, 1));
     let bad = submit_bad(&mut stage, 2, job(vec![step(1)]));
     stage.advance(20_000);
     assert_eq!(stage.state(bad), Some(JobState::Failed));
@@ -729,7 +729,7 @@
     for id in &idle {
         stage.crash(id);
     }
-    assert_eq!(told_losses(&stage, key), LossCount { all: 1, at_start: 1 });
+    assert_eq!(told_losses(&stage, key), LossCount { total: 1, at_start: 1 });
     work(&mut stage, 5_000);
     assert!(are_completed(&stage, &[id]));
 }
--- a/tests/scheduler_rebirth.rs
+++ b/tests/scheduler_rebirth.rs
@@ -21,7 +21,7 @@
 }
 
 fn call() -> RenewCall {
-    RenewCall { fence: 1, exits_through: 0, lease_until_ms: None, wait: Default::default() }
+    RenewCall { fence: 1, acked_exits: 0, lease_until_ms: None, wait: Default::default() }
 }
 
 /// A worker crashes and is back under its name before anybody noticed: nothing shows it but the time of its birth.
@@ -144,7 +144,7 @@
         };
         let report = WorkerReport {
             clock_ms: stage.now,
-            born_ms: Some(0),
+            started_ms: Some(0),
             exits: vec![exit],
             ..WorkerReport::default()
         };
@@ -183,7 +183,7 @@
         kind: ExitKind::Failed,
         checkpoint: String::new(),
     }];
-    let late = WorkerReport { clock_ms: 1, born_ms: Some(0), exits, ..WorkerReport::default() };
+    let late = WorkerReport { clock_ms: 1, started_ms: Some(0), exits, ..WorkerReport::default() };
     let outcome = CommandOutcome::Done(late);
     stage.scheduler.handle_renewal_outcome(&next, &call(), outcome, stage.now, stage.now);
     stage.scheduler.worker_seen(worker("w1", "r1").born(0), stage.now);
@@ -234,7 +234,7 @@
         worker.is_late = false;
     }
     stage.workers.get_mut(&place).expect("known").is_silent = true;
-    let name: std::sync::Arc<str> = ibisweir::jobs::site::life_name(&place).into();
+    let name: std::sync::Arc<str> = ibisweir::jobs::site::worker_name(&place).into();
     stage.scheduler.worker_unlisted(&name, stage.now);
     stage.advance(12_000);
     assert_eq!(stage.alive(key), 1, "it runs on the other worker");
@@ -252,12 +252,12 @@
 }
 
 trait Born {
-    fn born(self, born_ms: u64) -> WorkerEntry;
+    fn born(self, started_ms: u64) -> WorkerEntry;
 }
 
 impl Born for WorkerEntry {
-    fn born(self, born_ms: u64) -> WorkerEntry {
-        let id = ibisweir::jobs::site::life_id(&self.id, Some(born_ms));
+    fn born(self, started_ms: u64) -> WorkerEntry {
+        let id = ibisweir::jobs::site::incarnation_id(&self.id, Some(started_ms));
         WorkerEntry { id, ..self }
     }
 }
--- a/tests/scheduler_room.rs
+++ b/tests/scheduler_room.rs
@@ -11,7 +11,7 @@
 /// Pools whose workers start whatever they are told to.
 fn unguarded() -> SiteConfig {
     let mut config = config();
-    config.pools.iter_mut().for_each(|pool| pool.is_guarded = false);
+    config.pools.iter_mut().for_each(|pool| pool.has_admission_check = false);
     config
 }
 
@@ -102,13 +102,13 @@
 /// it is read again; those that refuse what does not fit go on.
 #[test]
 fn rooms_that_nobody_has_read_for_seconds_take_no_start_without_a_guard() {
-    for (config, is_guarded) in [(unguarded(), false), (config(), true)] {
+    for (config, has_admission_check) in [(unguarded(), false), (config(), true)] {
         let mut stage = Stage::open(config, vec![worker("w1", "r1")]);
         stage.reads_workers = false;
         stage.advance(5_000);
         let id = stage.submit(1, job(vec![step(1)]));
         stage.advance(500);
-        assert_eq!(stage.starts(task(id, 0, 0)) > 0, is_guarded);
+        assert_eq!(stage.starts(task(id, 0, 0)) > 0, has_admission_check);
         stage.reads_workers = true;
         stage.advance(500);
         assert_eq!(stage.starts(task(id, 0, 0)), 1);
--- a/tests/second_runs.rs
+++ b/tests/second_runs.rs
@@ -75,7 +75,7 @@
     let told =
         RunningTask { task: key, run: 7, checkpoint: String::new(), percent: 0, gauge: None };
     let report = WorkerReport { clock_ms: stage.now, running: vec![told], ..Default::default() };
-    let call = RenewCall { fence: 0, exits_through: 0, lease_until_ms: None, wait: Duration::ZERO };
+    let call = RenewCall { fence: 0, acked_exits: 0, lease_until_ms: None, wait: Duration::ZERO };
     stage.scheduler.handle_late_renewal(&other, &call, report, sent_ms, stage.now);
     stage.pump();
     let is_told = |note: &SchedulerNote| matches!(note, SchedulerNote::SecondRun { .. });
@@ -116,7 +116,9 @@
 /// Guards against a run that was begun by one try, and is taken for never begun as a later try of its start is refused.
 #[test]
 fn a_refusal_that_comes_after_the_run_has_begun_does_not_free_its_task() {
-    for refusal in [CommandRefusal::Unhealthy, CommandRefusal::NoRoom, CommandRefusal::Permit] {
+    for refusal in
+        [CommandRefusal::Unhealthy, CommandRefusal::NoCapacity, CommandRefusal::InvalidPermit]
+    {
         let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
         let (key, place) = start_under_way(&mut stage);
         stage.deliver_late(&place);
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 
 use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd, RENEWAL_MS, SILENCE_MS};
-use ibisweir::jobs::book::JobBook;
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{ExitKind, TaskKey};
 use ibisweir::jobs::ports::{
     CommandOutcome, CommandRefusal, RenewCall, RunCall, RunningTask, StartCall, TaskExit,
     WorkerReport,
 };
 use ibisweir::jobs::record::JobRecord;
-use ibisweir::jobs::site::{SiteConfig, VmEntry, WorkerEntry, life_id, life_name};
+use ibisweir::jobs::site::{SiteConfig, VmEntry, WorkerEntry, incarnation_id, worker_name};
 use ibisweir::scheduler::commit::CommitBatch;
 use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
@@ -62,7 +62,7 @@
 /// A life of a worker.
 struct ModelWorker {
     entry: WorkerEntry,
-    born_ms: u64,
+    started_ms: u64,
     slow_percent: u64,
     fence: u64,
     lease_until_ms: u64,
@@ -79,10 +79,10 @@
 }
 
 impl ModelWorker {
-    fn begin(entry: WorkerEntry, slow_percent: u64, born_ms: u64) -> ModelWorker {
+    fn begin(entry: WorkerEntry, slow_percent: u64, started_ms: u64) -> ModelWorker {
         ModelWorker {
             entry,
-            born_ms,
+            started_ms,
             slow_percent,
             fence: 0,
             lease_until_ms: 0,
@@ -98,7 +98,7 @@
     }
 
     fn clock_ms(&self, now: u64) -> u64 {
-        1_000 + (now - self.born_ms) * (100 - self.slow_percent) / 100
+        1_000 + (now - self.started_ms) * (100 - self.slow_percent) / 100
     }
 
     fn take_lease(&mut self, until_ms: u64, now: u64) {
@@ -124,7 +124,7 @@
             return;
         }
         for task in self.running.keys().copied().collect::<Vec<_>>() {
-            self.end(task, ExitKind::Lapsed);
+            self.end(task, ExitKind::LeaseExpired);
         }
     }
 
@@ -140,7 +140,7 @@
         }
         self.fence = call.fence;
         if call.lease_until_ms <= clock_ms {
-            return refuse(CommandRefusal::LateLease);
+            return refuse(CommandRefusal::LeaseExpired);
         }
         self.take_lease(call.lease_until_ms, now);
         if self.running.get(&call.task) == Some(&call.run) {
@@ -150,7 +150,7 @@
             return refuse(CommandRefusal::OldRun);
         }
         if self.is_full {
-            return refuse(CommandRefusal::NoRoom);
+            return refuse(CommandRefusal::NoCapacity);
         }
         self.running.insert(call.task, call.run);
         CommandOutcome::Done(clock_ms)
@@ -177,7 +177,7 @@
         }
         self.fence = call.fence;
         self.take_lease(call.lease_until_ms.unwrap_or(0), now);
-        self.exits.retain(|exit| exit.number > call.exits_through);
+        self.exits.retain(|exit| exit.number > call.acked_exits);
         let running = self.running.iter().map(|(task, run)| RunningTask {
             task: *task,
             run: *run,
@@ -187,7 +187,7 @@
         });
         CommandOutcome::Done(WorkerReport {
             clock_ms,
-            born_ms: Some(self.born_ms),
+            started_ms: Some(self.started_ms),
             running: running.collect(),
             exits: self.exits.clone(),
         })
@@ -235,7 +235,7 @@
     events: BTreeMap<(u64, u64), ModelEvent>,
     next_event: u64,
     leaders: Vec<ModelLeader>,
-    book: JobBook,
+    book: JobTable,
     end: u64,
     /// Highest term that has written to the job log.
     epoch: u64,
@@ -262,10 +262,10 @@
     fn open(load: TryLoad, seed: u64) -> Model {
         let mut random = StdRng::seed_from_u64(seed);
         let workers = (0..WORKERS).map(|number| {
-            let born_ms = BEGIN_MS - 1_000 - number as u64;
+            let started_ms = BEGIN_MS - 1_000 - number as u64;
             let entry = worker(&format!("w{number}"), &format!("r{number}"));
-            let entry = WorkerEntry { id: life_id(&entry.id, Some(born_ms)), ..entry };
-            let worker = ModelWorker::begin(entry, random.random_range(0..3), born_ms);
+            let entry = WorkerEntry { id: incarnation_id(&entry.id, Some(started_ms)), ..entry };
+            let worker = ModelWorker::begin(entry, random.random_range(0..3), started_ms);
             ModelWorker { sheds: load == TryLoad::Strained, ..worker }
         });
         let workers = workers.collect();
@@ -275,7 +275,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             leaders: Vec::new(),
-            book: JobBook::default(),
+            book: JobTable::default(),
             end: 0,
             epoch: 0,
             claimed: 0,
@@ -328,7 +328,7 @@
     }
 
     fn reaches(&mut self, term: u64, id: &str) -> bool {
-        let name: Arc<str> = life_name(id).into();
+        let name: Arc<str> = worker_name(id).into();
         self.leader(term).is_some_and(|leader| !leader.cut.contains(&name))
     }
 
@@ -710,7 +710,7 @@
     }
 
     fn toggle_cut(&mut self, term: u64, position: usize) {
-        let name: Arc<str> = life_name(&self.workers[position].entry.id).into();
+        let name: Arc<str> = worker_name(&self.workers[position].entry.id).into();
         self.tell(format!("{term} and {name}: cut or joined"));
         let Some(leader) = self.leader(term) else { return };
         if !leader.cut.remove(&name) {
@@ -782,7 +782,10 @@
         self.births += 1;
         let (now, slow_percent) = (self.now, self.workers[position].slow_percent);
         let before = &self.workers[position].entry;
-        let entry = WorkerEntry { id: life_id(life_name(&before.id), Some(now)), ..before.clone() };
+        let entry = WorkerEntry {
+            id: incarnation_id(worker_name(&before.id), Some(now)),
+            ..before.clone()
+        };
         self.tell(format!("{} begins anew as {}", before.id, entry.id));
         let next = ModelWorker::begin(entry.clone(), slow_percent, now);
         self.workers[position] = ModelWorker { sheds: self.load == TryLoad::Strained, ..next };
@@ -799,14 +802,14 @@
         let ms = self.random.random_range(5..300);
         let event = match is_listed {
             true => ModelEvent::Seen(entry),
-            false => ModelEvent::Unlisted(life_name(&entry.id).into()),
+            false => ModelEvent::Unlisted(worker_name(&entry.id).into()),
         };
         self.later(ms, event);
     }
 
     fn list_vms(&mut self) {
         let named = |worker: &ModelWorker| {
-            let name = life_name(&worker.entry.id);
+            let name = worker_name(&worker.entry.id);
             let vm_name = format!("m-{name}").into();
             VmEntry { vm: vm_name, worker: name.into(), ..vm(&worker.entry, POOL) }
         };
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use ibisweir::jobs::book::JobBook;
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{ExitKind, JobState};
 use ibisweir::jobs::record::JobRecord;
 use support::stage::{Stage, config, job, job_id, step, submission, task, worker};
@@ -29,7 +29,7 @@
 #[test]
 fn specs_of_jobs_that_are_over_leave_the_log() {
     let (_, newest) = over();
-    let mut book = JobBook::default();
+    let mut book = JobTable::default();
     for (offset, record) in &newest {
         book.fold(record, *offset);
     }
@@ -37,7 +37,7 @@
     assert_eq!(entry.state(), Some(JobState::Completed));
     let submission = entry.submission.as_ref().expect("kept");
     assert!(submission.has_no_spec());
-    assert_eq!(submission.tasks(), 1, "operators are still shown how many tasks it had");
+    assert_eq!(submission.task_count(), 1, "operators are still shown how many tasks it had");
 }
 
 /// A leader takes over from such a log. The job is over: nothing of it runs, also when a caller's repeat of the
--- a/tests/start_deadline.rs
+++ b/tests/start_deadline.rs
@@ -13,7 +13,7 @@
 use ibisweir::jobs::site::WorkerEntry;
 use ibisweir::scheduler::worker::WorkerRun;
 use ibisweir::scheduler::{SchedulerAction, SchedulerNote};
-use support::outside::{NotedWorkers, silent_node};
+use support::fakes::{RecordingWorkers, idle_node};
 use support::stage::{
     Stage, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task, worker,
 };
@@ -83,7 +83,7 @@
 
 /// What an executor sends to the worker for these starts.
 async fn carry_out_all(sent: &[StartCall]) -> Vec<StartCall> {
-    let (node, workers) = (silent_node(), NotedWorkers::default());
+    let (node, workers) = (idle_node(), RecordingWorkers::default());
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
     node.fold(&[(0, record)]);
     let delegated = |call: &StartCall| DelegatedStart {
@@ -126,7 +126,7 @@
         let mut start = HangingStart::open(0, 0);
         let (key, stage) = (start.key, &mut start.stage);
         let clock_ms = is_view_old.then_some(stage.now + bounds().cancel_ms);
-        let refused = CommandOutcome::Refused(CommandRefusal::LateLease, clock_ms);
+        let refused = CommandOutcome::Refused(CommandRefusal::LeaseExpired, clock_ms);
         let mut sent = 0;
         for _ in 0..100 {
             stage.now += 10;
--- a/tests/start_outcomes.rs
+++ b/tests/start_outcomes.rs
@@ -95,8 +95,8 @@
 /// Refusals after which a worker has done nothing.
 const REFUSALS: [CommandRefusal; 4] = [
     CommandRefusal::Unhealthy,
-    CommandRefusal::NoRoom,
-    CommandRefusal::Permit,
+    CommandRefusal::NoCapacity,
+    CommandRefusal::InvalidPermit,
     CommandRefusal::Malformed,
 ];
 
--- a/tests/submitter.rs
+++ b/tests/submitter.rs
@@ -14,7 +14,7 @@
 use ibisweir::jobs::submitter::{self, SubmitHandle, SubmitOutcome};
 use ibisweir::scheduler::Scheduler;
 use ibisweir::transport::HttpTransport;
-use support::outside::{lead, silent_node};
+use support::fakes::{idle_node, lead};
 use support::stage::{job, job_id, step, submission};
 use tokio::time::{Instant, sleep};
 
@@ -39,7 +39,7 @@
 
 /// One of so many entries, on a log that takes so long for an append; nobody leads.
 async fn entry(entries: u32, append_ms: u64) -> (Arc<JobNode>, CountedLog, SubmitHandle) {
-    let (node, log) = (silent_node(), CountedLog::default());
+    let (node, log) = (idle_node(), CountedLog::default());
     node.set_replicas(&ReplicaList { entries, ..ReplicaList::default() }, true);
     node.set_append_ms(append_ms, None);
     sleep(Duration::from_secs(1)).await;
--- a/tests/support/cancel_callers.rs
+++ b/tests/support/cancel_callers.rs
@@ -51,7 +51,7 @@
 }
 
 impl CancelSite {
-    /// A caller hands a job in: `JobDesk::submit`.
+    /// A caller hands a job in: `CallerService::submit`.
     pub fn submit(&mut self, entry: usize, number: u64, steps: Vec<StepSpec>) {
         let (id, life) = (job_id(number), self.life(entry));
         self.tell(id, format!("handed to entry {entry}"));
@@ -65,7 +65,7 @@
         });
     }
 
-    /// A caller cancels a job: `JobDesk::cancel`.
+    /// A caller cancels a job: `CallerService::cancel`.
     pub fn cancel(&mut self, entry: usize, id: JobId) {
         let life = self.life(entry);
         self.at_entry(0, life, move |site| {
--- a/tests/support/cancel_leader.rs
+++ b/tests/support/cancel_leader.rs
@@ -9,14 +9,14 @@
 use ibisweir::jobs::ports::{
     CommandOutcome, CommandRefusal, RenewCall, RunCall, StartCall, WorkerReport, WorkerTarget,
 };
-use ibisweir::jobs::site::{life_id, life_name};
+use ibisweir::jobs::site::{incarnation_id, worker_name};
 use ibisweir::scheduler::commit::CommitBatch;
 use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerStart};
 
 use super::cancel_site::{CancelSite, EntryLife, HOP_MS, SiteEvent, one_pool};
-use super::outside::{AnswerMode, NotedWorkers};
+use super::fakes::{AnswerMode, RecordingWorkers};
 use super::pieces::{WALL_OFFSET_MS, bounds};
 use super::stage_worker::StageWorker;
 
@@ -353,7 +353,7 @@
     /// A batch reaches its executor, which may begin it.
     pub async fn carry_out(&mut self, executor: EntryLife, orders: StartOrders) {
         let node = self.node(executor);
-        let workers = NotedWorkers::new(AnswerMode::Done);
+        let workers = RecordingWorkers::new(AnswerMode::Done);
         let outcomes = carry_out(&node, &workers, &orders.body).await;
         let begun = workers.starts().clone();
         let leader = orders.leader;
@@ -396,7 +396,7 @@
     }
 
     fn position(&self, id: &str) -> Option<usize> {
-        let is_same = |entry: &str| life_name(entry) == life_name(id);
+        let is_same = |entry: &str| worker_name(entry) == worker_name(id);
         self.workers.iter().position(|worker| is_same(&worker.entry.id))
     }
 
@@ -406,11 +406,11 @@
         let worker = &mut self.workers[position];
         let clock_ms = worker.clock_ms(now);
         let refusal = if worker.entry.id != *id {
-            Some(CommandRefusal::WrongLife)
+            Some(CommandRefusal::WrongIncarnation)
         } else if call.fence < worker.body.fence {
             Some(CommandRefusal::Fenced)
         } else if call.lease_until_ms <= clock_ms {
-            Some(CommandRefusal::LateLease)
+            Some(CommandRefusal::LeaseExpired)
         } else if worker.body.refused.contains(&(call.task, call.run)) {
             Some(CommandRefusal::OldRun)
         } else {
@@ -463,7 +463,7 @@
             return CommandOutcome::Unknown;
         }
         if worker.entry.id != *id {
-            return CommandOutcome::Refused(CommandRefusal::WrongLife, Some(clock_ms));
+            return CommandOutcome::Refused(CommandRefusal::WrongIncarnation, Some(clock_ms));
         }
         if call.fence < worker.body.fence {
             return CommandOutcome::Refused(CommandRefusal::Fenced, Some(clock_ms));
@@ -553,7 +553,7 @@
         worker.body.fence = call.fence;
         let until_ms = call.lease_until_ms.unwrap_or(0);
         worker.body.lease_until_ms = worker.body.lease_until_ms.max(until_ms);
-        worker.body.exits.retain(|exit| exit.number > call.exits_through);
+        worker.body.exits.retain(|exit| exit.number > call.acked_exits);
         !worker.body.exits.is_empty()
     }
 
@@ -562,14 +562,14 @@
         let worker = &self.workers[position];
         let clock_ms = worker.clock_ms(self.now);
         if worker.entry.id != *id {
-            return CommandOutcome::Refused(CommandRefusal::WrongLife, Some(clock_ms));
+            return CommandOutcome::Refused(CommandRefusal::WrongIncarnation, Some(clock_ms));
         }
         if call.fence < worker.body.fence {
             return CommandOutcome::Refused(CommandRefusal::Fenced, Some(clock_ms));
         }
-        let born_ms = id.rsplit_once('@').and_then(|(_, born)| born.parse().ok());
+        let started_ms = id.rsplit_once('@').and_then(|(_, born)| born.parse().ok());
         let report = worker.body.report(clock_ms, &std::collections::BTreeMap::new());
-        CommandOutcome::Done(WorkerReport { born_ms, clock_ms, ..report })
+        CommandOutcome::Done(WorkerReport { started_ms, clock_ms, ..report })
     }
 
     /// Workers end what has no lease any more.
@@ -584,9 +584,9 @@
 
     /// A worker begins anew under its name and knows nothing; leaders hear of it a moment later.
     pub fn begin_anew(&mut self, position: usize) {
-        let born_ms = self.now;
+        let started_ms = self.now;
         let worker = &mut self.workers[position];
-        worker.entry.id = life_id(life_name(&worker.entry.id), Some(born_ms));
+        worker.entry.id = incarnation_id(worker_name(&worker.entry.id), Some(started_ms));
         worker.body = StageWorker::default();
         let entry = worker.entry.clone();
         for life in (0..self.entries.len()).map(|at| self.life(at)).collect::<Vec<_>>() {
--- a/tests/support/cancel_site.rs
+++ b/tests/support/cancel_site.rs
@@ -15,13 +15,13 @@
 use ibisweir::jobs::model::JobId;
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::LogBatch;
-use ibisweir::jobs::site::{SiteConfig, SiteSettings, WorkerEntry, life_id};
+use ibisweir::jobs::site::{SiteConfig, SiteSettings, WorkerEntry, incarnation_id};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use super::cancel_callers::{StoreRequests, TakenRecord};
 use super::cancel_leader::StartOrders;
-use super::outside::node_with;
+use super::fakes::node_with;
 use super::pieces::{START_MS, bounds, config, site_settings, worker};
 use super::site_log::SiteLog;
 use super::stage_worker::StageWorker;
@@ -165,7 +165,7 @@
     pub fn open(seed: u64, entries: usize, workers: usize) -> CancelSite {
         let born = |n: usize| {
             let entry = worker(&format!("w{n}"), &format!("r{}", n / 2));
-            WorkerEntry { id: life_id(&entry.id, Some(0)), ..entry }
+            WorkerEntry { id: incarnation_id(&entry.id, Some(0)), ..entry }
         };
         let mut site = CancelSite {
             now: 0,
--- a/tests/support/outside.rs
+++ b/tests/support/fakes.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd};
-use ibisweir::jobs::book::JobBook;
 use ibisweir::jobs::catch_up::CatchUpReader;
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, CommandOutcome, CommandRefusal, JobLog, LogTopic, NewestPage,
@@ -21,7 +21,7 @@
 use super::stage::{bounds, config, site_settings};
 
 /// An entry that binds nothing and follows nothing.
-pub fn silent_node() -> Arc<JobNode> {
+pub fn idle_node() -> Arc<JobNode> {
     node_with(site_settings())
 }
 
@@ -33,17 +33,17 @@
 /// What an entry serves others with; its log can't be read.
 pub fn peer_service(
     node: Arc<JobNode>,
-    workers: NotedWorkers,
-) -> PeerService<AwayLog, NotedWorkers> {
-    let reader = Arc::new(CatchUpReader::new(node.clone(), AwayLog));
+    workers: RecordingWorkers,
+) -> PeerService<UnreachableLog, RecordingWorkers> {
+    let reader = Arc::new(CatchUpReader::new(node.clone(), UnreachableLog));
     PeerService { node, workers, reader }
 }
 
 /// A log that can't be reached.
 #[derive(Clone, Copy, Debug)]
-pub struct AwayLog;
+pub struct UnreachableLog;
 
-impl JobLog for AwayLog {
+impl JobLog for UnreachableLog {
     async fn append(&self, _: &AppendCall, _: Duration) -> AppendOutcome {
         AppendOutcome::Refused
     }
@@ -59,16 +59,16 @@
 
 /// Makes an entry the leader of term 1, with no job.
 pub fn lead(node: &JobNode) {
-    lead_from(node, &JobBook::default(), 1, None);
+    lead_from(node, &JobTable::default(), 1, None);
 }
 
 /// Makes an entry the leader of term 2, after one that was seen just now and has left this on the log.
-pub fn succeed(node: &JobNode, book: &JobBook) {
+pub fn succeed(node: &JobNode, book: &JobTable) {
     let before = LeaderTrace { seen_ms: node.now(), end: PredecessorEnd::Unknown };
     lead_from(node, book, 2, Some(before));
 }
 
-fn lead_from(node: &JobNode, book: &JobBook, term: u64, predecessor: Option<LeaderTrace>) {
+fn lead_from(node: &JobNode, book: &JobTable, term: u64, predecessor: Option<LeaderTrace>) {
     let start = SchedulerStart {
         term,
         bounds: bounds(),
@@ -92,7 +92,7 @@
     /// All is done after 5 ms.
     Prompt,
     /// Starts are refused for want of room.
-    NoRoom,
+    NoCapacity,
     /// Nothing is answered.
     Silent,
     /// Renewals are answered a second after their time.
@@ -103,7 +103,7 @@
 
 /// Workers that note what they are told.
 #[derive(Clone, Debug, Default)]
-pub struct NotedWorkers {
+pub struct RecordingWorkers {
     /// What they answer.
     pub mode: AnswerMode,
     starts: Arc<Mutex<Vec<StartCall>>>,
@@ -113,10 +113,10 @@
     addresses: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
-impl NotedWorkers {
+impl RecordingWorkers {
     /// Workers that answer so.
-    pub fn new(mode: AnswerMode) -> NotedWorkers {
-        NotedWorkers { mode, ..NotedWorkers::default() }
+    pub fn new(mode: AnswerMode) -> RecordingWorkers {
+        RecordingWorkers { mode, ..RecordingWorkers::default() }
     }
 
     /// Starts that were sent.
@@ -130,7 +130,7 @@
     }
 
     /// Most stops that were under way at a time.
-    pub fn most_stopping(&self) -> usize {
+    pub fn max_concurrent_stops(&self) -> usize {
         self.stopping().1
     }
 
@@ -146,7 +146,7 @@
     async fn answer(&self, patience: Duration) -> CommandOutcome<u64> {
         match self.mode {
             AnswerMode::Done
-            | AnswerMode::NoRoom
+            | AnswerMode::NoCapacity
             | AnswerMode::LateRenewals
             | AnswerMode::Panics => CommandOutcome::Done(40),
             AnswerMode::Prompt => {
@@ -161,7 +161,7 @@
     }
 }
 
-impl WorkerClient for NotedWorkers {
+impl WorkerClient for RecordingWorkers {
     async fn renew(
         &self,
         _: &WorkerTarget,
@@ -185,7 +185,7 @@
         self.addresses().insert(target.address);
         self.starts().push(call.clone());
         match self.mode {
-            AnswerMode::NoRoom => CommandOutcome::Refused(CommandRefusal::NoRoom, Some(40)),
+            AnswerMode::NoCapacity => CommandOutcome::Refused(CommandRefusal::NoCapacity, Some(40)),
             AnswerMode::Panics => panic!("a call is broken off"),
             _ => self.answer(patience).await,
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -4,7 +4,7 @@
 pub mod cancel_callers;
 pub mod cancel_leader;
 pub mod cancel_site;
-pub mod outside;
+pub mod fakes;
 pub mod pieces;
 pub mod process;
 pub mod site_log;
--- a/tests/support/pieces.rs
+++ b/tests/support/pieces.rs
@@ -28,7 +28,7 @@
         cancel_ms: 3_000,
         grace_ms: 6_000,
         remote_factor: 3.0,
-        maintain_ms: 2_000,
+        maintenance_ms: 2_000,
         are_vms_fenced: true,
         revocation: RevocationRule { is_strict: true, bound_ms: 5_000 },
     }
@@ -55,8 +55,11 @@
 
 /// One queue on one pool, and a standby pool.
 pub fn config() -> SiteConfig {
-    let pool =
-        |name: &str, is_standby| PoolSpec { name: name.into(), is_guarded: true, is_standby };
+    let pool = |name: &str, is_standby| PoolSpec {
+        name: name.into(),
+        has_admission_check: true,
+        is_standby,
+    };
     SiteConfig {
         version: 1,
         queues: vec![queue(QUEUE, POOL)],
@@ -149,7 +152,7 @@
         service: POOL.into(),
         accepted_ms: WALL_OFFSET_MS + START_MS,
         spec,
-        tasks_kept: 0,
+        kept_task_count: 0,
         organisation: None,
     }
 }
--- a/tests/support/stage.rs
+++ b/tests/support/stage.rs
@@ -4,14 +4,16 @@
 use std::sync::Arc;
 
 use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd};
-use ibisweir::jobs::book::JobBook;
+use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{ExitKind, JobId, JobSpec, JobState, StepKey, TaskKey};
 use ibisweir::jobs::ports::{
     CommandOutcome, CommandRefusal, RenewCall, RunCall, StartCall, VmCommand, VmOutcome,
     WorkerReport,
 };
 use ibisweir::jobs::record::JobRecord;
-use ibisweir::jobs::site::{SiteBounds, SiteConfig, VmEntry, WorkerEntry, life_id, life_name};
+use ibisweir::jobs::site::{
+    SiteBounds, SiteConfig, VmEntry, WorkerEntry, incarnation_id, worker_name,
+};
 use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerNote, SchedulerStart};
@@ -24,7 +26,7 @@
     /// The scheduler.
     pub scheduler: Scheduler,
     /// What the log tells.
-    pub book: JobBook,
+    pub book: JobTable,
     /// End of the log.
     pub end: u64,
     /// Workers by id.
@@ -110,15 +112,16 @@
 impl Stage {
     /// One whose workers tell when they were born.
     pub fn open_born(config: SiteConfig, entries: Vec<WorkerEntry>) -> Stage {
-        let born = |entry: WorkerEntry| WorkerEntry { id: life_id(&entry.id, Some(0)), ..entry };
+        let born =
+            |entry: WorkerEntry| WorkerEntry { id: incarnation_id(&entry.id, Some(0)), ..entry };
         Stage::open(config, entries.into_iter().map(born).collect())
     }
 
     /// A leader of term 1 with these workers, all under its token.
     pub fn open(config: SiteConfig, entries: Vec<WorkerEntry>) -> Stage {
         let mut stage = Stage {
-            scheduler: leader(1, None, bounds(), config, &JobBook::default(), START_MS),
-            book: JobBook::default(),
+            scheduler: leader(1, None, bounds(), config, &JobTable::default(), START_MS),
+            book: JobTable::default(),
             end: 0,
             workers: BTreeMap::new(),
             started: Vec::new(),
@@ -193,7 +196,7 @@
 
     fn list_workers(&mut self) {
         for entry in &self.entries {
-            let is_same = |id: &Arc<str>| life_name(id) == life_name(&entry.id);
+            let is_same = |id: &Arc<str>| worker_name(id) == worker_name(&entry.id);
             if !self.workers.keys().any(is_same) {
                 self.workers.insert(entry.id.clone(), StageWorker::default());
             }
@@ -258,7 +261,7 @@
     pub fn begin_anew(&mut self, id: &str) -> Arc<str> {
         let before = self.workers.remove(id).expect("the worker is known");
         self.crashes += 1;
-        let next = life_id(life_name(id), Some(u64::from(self.crashes)));
+        let next = incarnation_id(worker_name(id), Some(u64::from(self.crashes)));
         let late = before.late.clone();
         self.workers.insert(next.clone(), StageWorker { late, ..StageWorker::default() });
         if !self.hides_rebirths {
@@ -270,8 +273,8 @@
     /// The entries of all workers tell of their present lives.
     fn write_rebirths(&mut self) {
         for entry in &mut self.entries {
-            let name = life_name(&entry.id);
-            if let Some(present) = self.workers.keys().find(|id| life_name(id) == name) {
+            let name = worker_name(&entry.id);
+            if let Some(present) = self.workers.keys().find(|id| worker_name(id) == name) {
                 entry.id = present.clone();
             }
         }
@@ -289,7 +292,7 @@
     /// The VM list is read, which knows workers by their names alone.
     pub fn list_vms(&mut self) {
         let named = |entry: &WorkerEntry| {
-            let name = life_name(&entry.id);
+            let name = worker_name(&entry.id);
             VmEntry { vm: format!("m-{name}").into(), worker: name.into(), ..vm(entry, POOL) }
         };
         let vms = self.entries.iter().map(named).collect();
@@ -305,7 +308,7 @@
 
     /// The worker that a call to this life reaches: the present life of the same name.
     fn reach(&mut self, id: &str) -> Option<&mut StageWorker> {
-        let is_same = |other: &&Arc<str>| life_name(other) == life_name(id);
+        let is_same = |other: &&Arc<str>| worker_name(other) == worker_name(id);
         let present = self.workers.keys().find(is_same).cloned()?;
         self.workers.get_mut(&present)
     }
@@ -530,10 +533,10 @@
             return refuse(CommandRefusal::Fenced);
         }
         if worker.is_too_late(call, now) {
-            return refuse(CommandRefusal::LateLease);
+            return refuse(CommandRefusal::LeaseExpired);
         }
         if worker.is_full {
-            return refuse(CommandRefusal::NoRoom);
+            return refuse(CommandRefusal::NoCapacity);
         }
         if worker.is_unhealthy {
             return refuse(CommandRefusal::Unhealthy);
@@ -584,7 +587,7 @@
     fn renew(&mut self, id: &Arc<str>, call: &RenewCall) {
         self.leases.extend(call.lease_until_ms);
         let (now, gauges) = (self.now, self.gauges.clone());
-        let is_same = |other: &&Arc<str>| life_name(other) == life_name(id);
+        let is_same = |other: &&Arc<str>| worker_name(other) == worker_name(id);
         let Some(present) = self.workers.keys().find(is_same).cloned() else { return };
         let Some(worker) = self.workers.get_mut(&present) else { return };
         let is_fenced_off = call.fence < worker.fence;
@@ -600,9 +603,9 @@
             let clock_ms = worker.clock_ms(now);
             CommandOutcome::Done(WorkerReport { clock_ms, ..WorkerReport::default() })
         } else {
-            worker.exits.retain(|exit| exit.number > call.exits_through);
-            let born_ms = present.rsplit_once('@').and_then(|(_, born)| born.parse().ok());
-            CommandOutcome::Done(WorkerReport { born_ms, ..worker.report(now, &gauges) })
+            worker.exits.retain(|exit| exit.number > call.acked_exits);
+            let started_ms = present.rsplit_once('@').and_then(|(_, born)| born.parse().ok());
+            CommandOutcome::Done(WorkerReport { started_ms, ..worker.report(now, &gauges) })
         };
         let sent_ms = if worker.is_stale { START_MS } else { now };
         self.scheduler.handle_renewal_outcome(id, call, outcome, sent_ms, self.now);
@@ -614,7 +617,7 @@
     predecessor: Option<LeaderTrace>,
     bounds: SiteBounds,
     config: SiteConfig,
-    book: &JobBook,
+    book: &JobTable,
     now: u64,
 ) -> Scheduler {
     let start = SchedulerStart {
--- a/tests/support/stage_worker.rs
+++ b/tests/support/stage_worker.rs
@@ -39,7 +39,7 @@
     /// By how much its clock is slow, in percent.
     pub slow_percent: u64,
     /// When its clock began, in milliseconds; 0 for as long ago as the stage's time.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Starts that it refused as their leases would have been over.
     pub refused_late: usize,
     /// Highest fencing token seen.
@@ -51,8 +51,8 @@
 impl StageWorker {
     /// Its own clock.
     pub fn clock_ms(&self, now: u64) -> u64 {
-        let begun_ms = self.born_ms.max(START_MS);
-        let shown_ms = if self.born_ms == 0 { START_MS } else { 0 };
+        let begun_ms = self.started_ms.max(START_MS);
+        let shown_ms = if self.started_ms == 0 { START_MS } else { 0 };
         shown_ms + (now - begun_ms) * (100 - self.slow_percent) / 100
     }
 
@@ -84,7 +84,7 @@
         }
         let lapsed: Vec<(TaskKey, u32)> = self.running.keys().copied().collect();
         for (task, run) in lapsed {
-            self.exit(task, run, ExitKind::Lapsed);
+            self.exit(task, run, ExitKind::LeaseExpired);
         }
     }
 
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -12,7 +12,6 @@
 use ibisweir::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
 use ibisweir::jobs::model::StepKey;
 use ibisweir::jobs::node::JobNode;
-use ibisweir::jobs::patience::PatienceGauge;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, CommandOutcome, JobLog, LogBatch, LogTopic, NewestPage,
     PermitClient, PermitGrant, ReadOutcome, RenewCall, RunCall, StartCall, VmClient, VmCommand,
@@ -20,6 +19,7 @@
 };
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
 use ibisweir::jobs::site::{PoolSpec, SiteConfig, VmEntry};
+use ibisweir::jobs::timeout_estimator::TimeoutEstimator;
 use support::stage::{bounds, config, job, job_id, site_settings, step, submission, worker};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -177,7 +177,7 @@
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
-            patience: PatienceGauge::new(APPEND_PATIENCE),
+            patience: TimeoutEstimator::new(APPEND_PATIENCE),
             pending: None,
         };
         let _leading = tokio::spawn(async move {
@@ -199,7 +199,7 @@
 fn unguarded() -> SiteConfig {
     let config = config();
     let pools = config.pools.iter().cloned();
-    let pools = pools.map(|pool| PoolSpec { is_guarded: false, ..pool }).collect();
+    let pools = pools.map(|pool| PoolSpec { has_admission_check: false, ..pool }).collect();
     SiteConfig { pools, ..config }
 }
 
@@ -250,12 +250,12 @@
 /// Guards against a start over the room of a worker that shrank while the workers were read.
 #[tokio::test(start_paused = true)]
 async fn a_takeover_with_an_old_view_of_the_workers_starts_nothing_where_nobody_guards() {
-    for (config, is_guarded) in [(unguarded(), false), (config(), true)] {
+    for (config, has_admission_check) in [(unguarded(), false), (config(), true)] {
         let takeover = Takeover::begin(config, 2_200);
         takeover.log.holds_rooms.store(true, Ordering::Relaxed);
         sleep(Duration::from_millis(2_100)).await;
         takeover.node.jobs_shown(takeover.node.now());
-        assert_eq!(takeover.starts_within(800).await, is_guarded);
+        assert_eq!(takeover.starts_within(800).await, has_admission_check);
         takeover.log.holds_rooms.store(false, Ordering::Relaxed);
         for _ in 0..10 {
             takeover.node.jobs_shown(takeover.node.now());
