--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -8,22 +8,22 @@
 
 use ibisweir::decide::access::{AccessBook, CallerAccess, CallerMark, KeyDigest, OrganisationSpec};
 use ibisweir::error::ResultCode;
+use ibisweir::jobs::caller_service::{CallerReply, CallerService};
 use ibisweir::jobs::catch_up::CatchUpReader;
-use ibisweir::jobs::desk::{DeskReply, JobDesk};
 use ibisweir::jobs::follower::{TailReader, fold_step};
 use ibisweir::jobs::model::{JobId, JobState, JobSubmission, ResourceVector};
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, ReadOutcome,
 };
-use ibisweir::jobs::question::QuestionClient;
+use ibisweir::jobs::query::QueryClient;
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
 use ibisweir::jobs::relay::RelayClient;
 use ibisweir::jobs::site::SiteConfig;
 use ibisweir::jobs::submitter;
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
 use ibisweir::transport::HttpTransport;
-use support::outside::silent_node;
+use support::fakes::idle_node;
 use support::stage::{
     POOL, QUEUE, Stage, bounds, config, job, job_id, queue, step, submission, task, worker,
 };
@@ -87,15 +87,15 @@
 }
 
 /// An entry on this log that follows nothing by itself.
-fn desk(log: &MemoryLog, config: SiteConfig) -> JobDesk<MemoryLog> {
-    let node = silent_node();
+fn desk(log: &MemoryLog, config: SiteConfig) -> CallerService<MemoryLog> {
+    let node = idle_node();
     node.set_config(config);
     node.touch();
     let relay = RelayClient::new(HttpTransport::open());
-    let questions = QuestionClient::new(HttpTransport::open());
+    let queries = QueryClient::new(HttpTransport::open());
     let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), 1);
     let reader = Arc::new(CatchUpReader::new(node.clone(), log.clone()));
-    JobDesk { node, reader, submitter, relay, questions }
+    CallerService { node, reader, submitter, relay, queries }
 }
 
 /// A configuration whose callers need keys.
@@ -114,17 +114,17 @@
     CallerAccess { organisation: Some(organisation.into()) }
 }
 
-async fn submit(desk: &JobDesk<MemoryLog>, caller: &CallerAccess, id: JobId) -> DeskReply {
+async fn submit(desk: &CallerService<MemoryLog>, caller: &CallerAccess, id: JobId) -> CallerReply {
     desk.submit(&queue(QUEUE, POOL), caller, id, job(vec![step(1)]), PATIENCE).await
 }
 
-async fn cancel(desk: &JobDesk<MemoryLog>, caller: &CallerAccess, id: JobId) -> DeskReply {
+async fn cancel(desk: &CallerService<MemoryLog>, caller: &CallerAccess, id: JobId) -> CallerReply {
     desk.cancel(&queue(QUEUE, POOL), caller, id, PATIENCE).await
 }
 
 /// An entry that has just read the newest record of each key.
 async fn newcomer(log: &MemoryLog) -> Arc<JobNode> {
-    let node = silent_node();
+    let node = idle_node();
     let mut tail = TailReader::new(LogTopic::Jobs);
     let step = tail.next(log, Duration::ZERO).await;
     fold_step(&node, step, tail.position());
@@ -147,7 +147,7 @@
     Scheduler::open(start, &node.book()).census().jobs
 }
 
-const GONE: DeskReply = DeskReply::Refused(ResultCode::UnknownJob, None);
+const GONE: CallerReply = CallerReply::Refused(ResultCode::UnknownJob, None);
 
 /// Guards against a job that runs to its end after its cancellation: it is stored by one entry a moment after another
 /// has answered that there is no such job.
@@ -157,12 +157,12 @@
     let (first, second) = (desk(&log, config()), desk(&log, config()));
     let (anyone, id) = (CallerAccess::default(), job_id(1));
     assert_eq!(cancel(&first, &anyone, id).await, GONE);
-    assert_eq!(first.look(&anyone, id).await, GONE);
-    assert_eq!(second.look(&anyone, id).await, GONE);
-    assert_eq!(submit(&second, &anyone, id).await, DeskReply::Stored);
-    let cancelled = DeskReply::State(JobState::Cancelled);
-    assert_eq!(second.look(&anyone, id).await, cancelled);
-    assert_eq!(first.look(&anyone, id).await, cancelled);
+    assert_eq!(first.job_state(&anyone, id).await, GONE);
+    assert_eq!(second.job_state(&anyone, id).await, GONE);
+    assert_eq!(submit(&second, &anyone, id).await, CallerReply::Stored);
+    let cancelled = CallerReply::State(JobState::Cancelled);
+    assert_eq!(second.job_state(&anyone, id).await, cancelled);
+    assert_eq!(first.job_state(&anyone, id).await, cancelled);
     let node = newcomer(&log).await;
     assert_eq!(node.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
     assert_eq!(open_jobs(&node), 0);
@@ -174,10 +174,10 @@
     let anyone = CallerAccess::default();
     let log = MemoryLog { fate: Some(AppendOutcome::Refused), ..MemoryLog::default() };
     let reply = cancel(&desk(&log, config()), &anyone, job_id(1)).await;
-    assert!(matches!(reply, DeskReply::Refused(ResultCode::LogAway, Some(_))), "{reply:?}");
+    assert!(matches!(reply, CallerReply::Refused(ResultCode::LogAway, Some(_))), "{reply:?}");
     let log = MemoryLog { fate: Some(AppendOutcome::Unknown), ..MemoryLog::default() };
     let reply = cancel(&desk(&log, config()), &anyone, job_id(1)).await;
-    assert_eq!(reply, DeskReply::Unknown(ResultCode::JobOutcomeUnknown));
+    assert_eq!(reply, CallerReply::Unknown(ResultCode::JobOutcomeUnknown));
 }
 
 /// Guards against callers that can't cancel for as long as their entries are behind the log.
@@ -187,8 +187,8 @@
     let unread = MemoryLog { is_unread: true, ..log.clone() };
     let (behind, other) = (desk(&unread, config()), desk(&log, config()));
     let (anyone, id) = (CallerAccess::default(), job_id(1));
-    assert_eq!(submit(&other, &anyone, id).await, DeskReply::Stored);
-    assert_eq!(cancel(&behind, &anyone, id).await, DeskReply::Stored);
+    assert_eq!(submit(&other, &anyone, id).await, CallerReply::Stored);
+    assert_eq!(cancel(&behind, &anyone, id).await, CallerReply::Stored);
     let newcomer = newcomer(&log).await;
     assert_eq!(newcomer.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
     assert_eq!(open_jobs(&newcomer), 0);
@@ -203,9 +203,9 @@
     for foreign in [&west, &CallerAccess::default()] {
         assert_eq!(cancel(&first, foreign, id).await, GONE);
     }
-    assert_eq!(submit(&second, &east, id).await, DeskReply::Stored);
+    assert_eq!(submit(&second, &east, id).await, CallerReply::Stored);
     for desk in [&first, &second] {
-        assert_eq!(desk.look(&east, id).await, DeskReply::State(JobState::Queued));
+        assert_eq!(desk.job_state(&east, id).await, CallerReply::State(JobState::Queued));
     }
     assert_eq!(open_jobs(&*newcomer(&log).await), 1);
     // What is known and hidden leaves no record.
@@ -223,18 +223,18 @@
     for caller in [&east, &west, &CallerAccess::default()] {
         assert_eq!(cancel(&first, caller, id).await, GONE);
     }
-    assert_eq!(submit(&second, &east, id).await, DeskReply::Stored);
-    let cancelled = DeskReply::State(JobState::Cancelled);
-    assert_eq!(first.look(&east, id).await, cancelled);
-    assert_eq!(first.look(&west, id).await, GONE);
+    assert_eq!(submit(&second, &east, id).await, CallerReply::Stored);
+    let cancelled = CallerReply::State(JobState::Cancelled);
+    assert_eq!(first.job_state(&east, id).await, cancelled);
+    assert_eq!(first.job_state(&west, id).await, GONE);
     let node = newcomer(&log).await;
     assert_eq!(node.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
     assert_eq!(open_jobs(&node), 0);
     // A job of a queue that is open to all may be cancelled by every caller that may see it.
     let (anyone, open) = (CallerAccess::default(), job_id(2));
     assert_eq!(cancel(&first, &west, open).await, GONE);
-    assert_eq!(submit(&second, &anyone, open).await, DeskReply::Stored);
-    assert_eq!(first.look(&anyone, open).await, cancelled);
+    assert_eq!(submit(&second, &anyone, open).await, CallerReply::Stored);
+    assert_eq!(first.job_state(&anyone, open).await, cancelled);
 }
 
 /// A leader without a job of this id, the mark of an organisation, and its submission.
@@ -317,10 +317,10 @@
     let unread = MemoryLog { is_unread: true, ..log.clone() };
     let (behind, other) = (desk(&unread, keyed_config()), desk(&log, keyed_config()));
     let id = job_id(1);
-    assert_eq!(submit(&other, &caller("east"), id).await, DeskReply::Stored);
+    assert_eq!(submit(&other, &caller("east"), id).await, CallerReply::Stored);
     let told = cancel(&behind, &caller("west"), id).await;
     assert_eq!(open_jobs(&*newcomer(&log).await), 1, "it runs on");
-    assert_ne!(told, DeskReply::Stored);
+    assert_ne!(told, CallerReply::Stored);
 }
 
 /// Guards against a job that a caller without a key cancels before it is stored: its entry still goes by a configuration
@@ -331,6 +331,6 @@
     let (old, new) = (desk(&log, config()), desk(&log, keyed_config()));
     let id = job_id(1);
     assert_eq!(cancel(&old, &CallerAccess::default(), id).await, GONE);
-    assert_eq!(submit(&new, &caller("east"), id).await, DeskReply::Stored);
+    assert_eq!(submit(&new, &caller("east"), id).await, CallerReply::Stored);
     assert_eq!(open_jobs(&*newcomer(&log).await), 1);
 }
--- a/tests/two_leaders.rs
+++ b/tests/two_leaders.rs
@@ -15,7 +15,6 @@
 use ibisweir::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
 use ibisweir::jobs::model::{StepKey, StepSpec, TaskKey};
 use ibisweir::jobs::node::JobNode;
-use ibisweir::jobs::patience::PatienceGauge;
 use ibisweir::jobs::ports::{
     AppendCall, AppendOutcome, CommandOutcome, CommandRefusal, JobLog, LogBatch, LogTopic,
     NewestPage, PermitClient, PermitGrant, ReadOutcome, RenewCall, RunCall, RunningTask, StartCall,
@@ -23,6 +22,7 @@
 };
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
 use ibisweir::jobs::site::{SiteSettings, VmEntry};
+use ibisweir::jobs::timeout_estimator::TimeoutEstimator;
 use support::site_log::SiteLog;
 use support::stage::{bounds, config, job, job_id, site_settings, step, submission, worker};
 use tokio::task::JoinHandle;
@@ -356,7 +356,7 @@
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
-            patience: PatienceGauge::new(APPEND_PATIENCE),
+            patience: TimeoutEstimator::new(APPEND_PATIENCE),
             pending: None,
         };
         let _leading = tokio::spawn(async move {
--- a/tests/wave_teller.rs
+++ b/tests/wave_reporter.rs
@@ -7,7 +7,7 @@
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, ReadOutcome,
 };
 use ibisweir::jobs::record::KeyedRecord;
-use ibisweir::jobs::wave_teller::WaveTeller;
+use ibisweir::jobs::wave_reporter::WaveReporter;
 
 /// Number and value of each record that was sent.
 type SentRecords = Vec<(u64, Vec<u8>)>;
@@ -50,7 +50,7 @@
 async fn a_status_is_sent_once_the_one_before_is_on_the_log() {
     let log = LossyLog::default();
     let logger = ibisweir::logging::silent();
-    let (teller, statuses) = WaveTeller::open(log.clone(), encode, logger, 7);
+    let (teller, statuses) = WaveReporter::open(log.clone(), encode, logger, 7);
     statuses.send((1, false)).expect("the teller listens");
     statuses.send((1, true)).expect("the teller listens");
     drop(statuses);
