--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -29,8 +29,8 @@
 use crate::jobs::timeout_estimator::TimeoutEstimator;
 use crate::jobs::wave_reporter::WaveReporter;
 use crate::scheduler::commit::CommitBatch;
-use crate::scheduler::fleet::list_rest_ms;
-use crate::scheduler::{Scheduler, SchedulerAction, SchedulerCensus, SchedulerStart};
+use crate::scheduler::fleet::vm_list_pause_ms;
+use crate::scheduler::{Scheduler, SchedulerAction, SchedulerStart, SchedulerStats};
 
 /// Longest time between two ticks of the scheduler.
 const TICK: Duration = Duration::from_millis(50);
@@ -191,7 +191,7 @@
         let raised_ms = self.node.now();
         let Some(end) = self.raise_epoch().await else { return };
         self.read_through(end).await;
-        let (tail, workers, rooms_ms) = self.first_workers().await;
+        let (tail, workers, workers_read_ms) = self.first_workers().await;
         let Some(config) = self.node.config() else { return };
         let start = SchedulerStart {
             term: self.term,
@@ -199,8 +199,8 @@
             config,
             predecessor,
             confirmed_ms: self.confirmed_ms.load(Ordering::Acquire),
-            jobs_ms: raised_ms.max(self.node.jobs_ms()),
-            rooms_ms,
+            jobs_read_ms: raised_ms.max(self.node.jobs_ms()),
+            workers_read_ms,
             now: self.node.now(),
             wall_ms: self.node.clock.wall_ms(),
         };
@@ -219,16 +219,16 @@
 
     /// Opens the scheduler. The book stays locked until it is in place: a record that is folded
     /// meanwhile would be told to nobody, and its job would wait for the next leader.
-    fn install(&self, start: SchedulerStart, workers: Vec<WorkerEntry>) -> SchedulerCensus {
+    fn install(&self, start: SchedulerStart, workers: Vec<WorkerEntry>) -> SchedulerStats {
         let now = start.now;
         let waves = self.node.waves();
         let book = self.node.book();
         let mut scheduler = Scheduler::open(start, &book);
         scheduler.workers_listed(workers, now);
         for wave in waves.values() {
-            scheduler.take_wave(wave.clone(), book.maintained(wave.number), now);
+            scheduler.add_wave(wave.clone(), book.maintained(wave.number), now);
         }
-        let census = scheduler.census();
+        let census = scheduler.stats();
         self.node.set_scheduler(Some(scheduler));
         census
     }
@@ -425,18 +425,18 @@
 
     fn carry_out(self: &Arc<Self>, action: SchedulerAction, tasks: &mut JoinSet<()>) {
         match action {
-            SchedulerAction::Send(target, task, run) => {
+            SchedulerAction::SendCommand(target, task, run) => {
                 self.lanes.send(&target, LaneCommand::Run(task, run), tasks);
             }
-            SchedulerAction::Stop(target, call) => {
+            SchedulerAction::StopUntracked(target, call) => {
                 self.lanes.send(&target, LaneCommand::Stop(call), tasks);
             }
             SchedulerAction::Throttle(target, call, percent) => {
                 self.lanes.send(&target, LaneCommand::Throttle(call, percent), tasks);
             }
-            SchedulerAction::Watch(target) => self.lanes.watch(&target, tasks),
-            SchedulerAction::Wake(worker) => self.lanes.wake(&worker),
-            SchedulerAction::Forget(worker) => self.lanes.forget(&worker),
+            SchedulerAction::StartRenewals(target) => self.lanes.watch(&target, tasks),
+            SchedulerAction::RenewNow(worker) => self.lanes.wake(&worker),
+            SchedulerAction::CancelCalls(worker) => self.lanes.forget(&worker),
             SchedulerAction::ListVms => {
                 tasks.spawn(self.clone().list_vms());
             }
@@ -456,11 +456,11 @@
                     run.node.wake.notify_one();
                 });
             }
-            SchedulerAction::TellWave(number, is_completed) => {
+            SchedulerAction::PublishWaveStatus(number, is_completed) => {
                 // The teller ends only once a later leader tells instead.
                 let _ = self.statuses.send((number, is_completed));
             }
-            SchedulerAction::AskPermits(step, workers) => {
+            SchedulerAction::RequestPermits(step, workers) => {
                 let run = self.clone();
                 tasks.spawn(async move {
                     let grant = run.parts.permits.ask(&step, &workers).await;
@@ -468,11 +468,11 @@
                     info!(run.node.logger, "placement permits"; "step" => %step,
                         "asked" => workers.len(), "allowed" => allowed);
                     let now = run.node.now();
-                    run.node.with_scheduler(|scheduler| scheduler.take_permits(step, grant, now));
+                    run.node.with_scheduler(|scheduler| scheduler.update_permits(step, grant, now));
                     run.node.wake.notify_one();
                 });
             }
-            SchedulerAction::Note(note) => decision_log::write(&self.node, &note),
+            SchedulerAction::Event(note) => decision_log::write(&self.node, &note),
         }
     }
 
@@ -491,10 +491,10 @@
             return;
         };
         let now = self.node.now();
-        let rest_ms = list_rest_ms(vms.len(), self.node.settings.link);
+        let rest_ms = vm_list_pause_ms(vms.len(), self.node.settings.link);
         self.node.with_scheduler(|scheduler| {
-            scheduler.take_vms(vms, asked_ms, now);
-            scheduler.rest_list(rest_ms, now);
+            scheduler.update_vms(vms, asked_ms, now);
+            scheduler.pause_vm_list(rest_ms, now);
         });
         self.node.wake.notify_one();
     }
@@ -538,7 +538,7 @@
             match outcome {
                 AppendOutcome::Done { offset, end } => {
                     *self.sequence() = sequence + 1;
-                    if self.node.fold_own(&batch.folded, offset, end) {
+                    if self.node.fold_own(&batch.decoded, offset, end) {
                         self.node.jobs_shown(sent_ms);
                     }
                     self.committed(batch);
--- a/src/jobs/decision_log.rs
+++ b/src/jobs/decision_log.rs
@@ -4,34 +4,34 @@
 
 use crate::jobs::metrics::count;
 use crate::jobs::node::JobNode;
-use crate::scheduler::SchedulerNote;
+use crate::scheduler::SchedulerEvent;
 use crate::scheduler::losses::CRASH_WINDOW_MS;
 
 /// Writes a decision down.
-pub fn write(node: &JobNode, note: &SchedulerNote) {
+pub fn write(node: &JobNode, note: &SchedulerEvent) {
     let logger = &node.logger;
     match note {
-        SchedulerNote::Placed { task, run, worker, age_ms } => {
+        SchedulerEvent::Placed { task, run, worker, age_ms } => {
             info!(logger, "placed"; "job" => %task.job, "task" => %task, "run" => run,
                 "worker" => &**worker, "age_ms" => age_ms);
         }
-        SchedulerNote::Ended { task, run, worker, how } => {
+        SchedulerEvent::Ended { task, run, worker, how } => {
             count(&node.metrics.exits, how);
             info!(logger, "ended"; "job" => %task.job, "task" => %task, "run" => run,
                 "worker" => &**worker, "how" => how);
         }
-        SchedulerNote::Lost { task, run, worker, how, at_work_ms } => {
+        SchedulerEvent::Lost { task, run, worker, how, at_work_ms } => {
             count(&node.metrics.exits, how);
             count(&node.metrics.lost_runs, lost_word(*at_work_ms));
             info!(logger, "ended"; "job" => %task.job, "task" => %task, "run" => run,
                 "worker" => &**worker, "how" => how, "at_work_ms" => at_work_ms);
         }
-        SchedulerNote::GivenUp { task, lost, reason } => {
+        SchedulerEvent::GivenUp { task, lost, reason } => {
             count(&node.metrics.given_up, reason);
             info!(logger, "given up"; "job" => %task.job, "task" => %task,
                 "workers_lost" => lost, "reason" => reason);
         }
-        SchedulerNote::ServiceAway {
+        SchedulerEvent::ServiceAway {
             task,
             run,
             worker,
@@ -48,50 +48,50 @@
                 "away_ms" => away_ms, "waits_ms" => waits_ms, "open_tries" => open_tries, "workers_lost" => losses.total,
                 "lost_at_start" => losses.at_start, "all_away" => all);
         }
-        SchedulerNote::OnTrial { task, lost } => {
+        SchedulerEvent::OnTrial { task, lost } => {
             node.metrics.trials.inc();
             info!(logger, "starts only while its pool is calm"; "job" => %task.job, "task" => %task,
                 "workers_lost" => lost);
         }
-        SchedulerNote::StartRefused { task, run, worker, reason, open_tries } => {
+        SchedulerEvent::StartRefused { task, run, worker, reason, open_tries } => {
             if *open_tries > 0 {
                 node.metrics.refused_open.inc();
             }
             info!(logger, "start refused"; "job" => %task.job, "task" => %task, "run" => run,
                 "worker" => &**worker, "reason" => reason, "open_tries" => open_tries);
         }
-        SchedulerNote::SecondRun { task, run, worker, booked } => {
+        SchedulerEvent::SecondRun { task, run, worker, booked } => {
             node.metrics.second_runs.inc();
             warn!(logger, "a second run of a task is listed"; "job" => %task.job, "task" => %task,
                 "run" => run, "worker" => &**worker, "booked_run" => booked);
         }
-        SchedulerNote::JobState { job, state, age_ms } => {
+        SchedulerEvent::JobState { job, state, age_ms } => {
             info!(logger, "job state"; "job" => %job, "state" => ?state, "age_ms" => age_ms);
         }
-        SchedulerNote::Cancelled { job, source, found, view_ms } => {
+        SchedulerEvent::Cancelled { job, source, found, view_ms } => {
             count(&node.metrics.cancellations, found);
             info!(logger, "cancellation taken in"; "job" => %job, "source" => ?source,
                 "found" => found, "view_ms" => view_ms);
         }
-        SchedulerNote::BegunOver { task, run, worker, since_ms } => {
+        SchedulerEvent::StartedAfterEnd { task, run, worker, since_ms } => {
             node.metrics.begun_over.inc();
             warn!(logger, "a run of a job that is over is listed"; "job" => %task.job,
                 "task" => %task, "run" => run, "worker" => &**worker, "since_ms" => since_ms);
         }
-        SchedulerNote::ViewOld { view_ms } => {
+        SchedulerEvent::ViewStale { view_ms } => {
             warn!(logger, "nothing is placed until the job log is read"; "view_ms" => view_ms);
         }
-        SchedulerNote::Worker { worker, change, runs } => {
+        SchedulerEvent::Worker { worker, change, runs } => {
             info!(logger, "worker"; "worker" => &**worker, "change" => change, "runs" => runs);
         }
-        SchedulerNote::Pool { pool, needed, usable, idle, booked } => {
+        SchedulerEvent::Pool { pool, needed, usable, idle, booked } => {
             info!(logger, "pool"; "pool" => &**pool, "needed" => needed, "usable" => usable,
                 "idle" => idle, "booked_permille" => booked);
         }
-        SchedulerNote::Vm { vm, change } => {
+        SchedulerEvent::Vm { vm, change } => {
             info!(logger, "vm"; "vm" => &**vm, "change" => change);
         }
-        SchedulerNote::Stopped { task, run, reason } => {
+        SchedulerEvent::Stopped { task, run, reason } => {
             count(&node.metrics.stops, reason);
             info!(logger, "stopping"; "job" => %task.job, "task" => %task, "run" => run,
                 "reason" => reason);
--- a/src/jobs/leader_load.rs
+++ b/src/jobs/leader_load.rs
@@ -9,7 +9,7 @@
 use slog::info;
 
 use crate::jobs::node::JobNode;
-use crate::scheduler::CONFIRMATION_MS;
+use crate::scheduler::CONFIRMATION_TIMEOUT_MS;
 use crate::traffic::{CONNECTS, CallTraffic};
 
 /// Time between two lines, in milliseconds.
@@ -56,7 +56,7 @@
     /// The leadership was last confirmed by an append that was sent so long ago.
     pub fn record_confirmation_age(&mut self, age_ms: u64) {
         self.unconfirmed_ms = self.unconfirmed_ms.max(age_ms);
-        self.unconfirmed_wakes += u32::from(age_ms >= CONFIRMATION_MS);
+        self.unconfirmed_wakes += u32::from(age_ms >= CONFIRMATION_TIMEOUT_MS);
     }
 
     /// The leader's loop woke so much later than it had asked for, with this commit under way.
--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -409,7 +409,7 @@
         let now = self.now();
         self.with_scheduler(|scheduler| {
             for (_, record) in records {
-                scheduler.take_record(record, now);
+                scheduler.apply_record(record, now);
             }
         });
         self.wake.notify_one();
@@ -436,7 +436,7 @@
         let done = self.book().maintained(wave.number);
         let now = self.now();
         self.waves().insert(wave.number, wave.clone());
-        self.with_scheduler(|scheduler| scheduler.take_wave(wave, done, now));
+        self.with_scheduler(|scheduler| scheduler.add_wave(wave, done, now));
     }
 
     /// Every wave that was read.
@@ -601,7 +601,7 @@
         metrics.update_traffic();
         metrics.log_age_ms.set(self.log_age_ms().map_or(-1, gauge));
         metrics.config_version.set(self.config().map_or(0, |config| gauge(config.version)));
-        let census = self.with_scheduler(|scheduler| scheduler.census());
+        let census = self.with_scheduler(|scheduler| scheduler.stats());
         metrics.replica.set(i64::from(self.has_copy()));
         metrics.leading.set(i64::from(census.is_some()));
         let census = census.unwrap_or_default();
--- a/src/jobs/ports.rs
+++ b/src/jobs/ports.rs
@@ -394,7 +394,7 @@
 }
 
 /// Time for a command to a VM to be answered, in milliseconds; a slow service takes 50 times its usual
-/// few milliseconds. A successor counts on it: see [`crate::scheduler::VM_COMMAND_LIFE_MS`].
+/// few milliseconds. A successor counts on it: see [`crate::scheduler::VM_COMMAND_LIFETIME_MS`].
 pub const VM_COMMAND_TIMEOUT_MS: u64 = 600;
 
 /// The platform's VMs.
--- a/src/scheduler/abandoned.rs
+++ b/src/scheduler/abandoned.rs
@@ -14,7 +14,7 @@
 use crate::jobs::ports::{TaskExit, VmCommand};
 use crate::jobs::site::VmState;
 use crate::scheduler::job::RunPhase;
-use crate::scheduler::{Scheduler, SchedulerNote};
+use crate::scheduler::{Scheduler, SchedulerEvent};
 
 /// Whether the worker's loss was counted against the task, and if so, whether at its start.
 type CountedLoss = Option<bool>;
@@ -86,12 +86,12 @@
     /// Keeps this exit and all after it from being acknowledged.
     pub(crate) fn withhold(&mut self, id: &Arc<str>, number: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if !worker.withhold(number) {
+        if !worker.withhold_exits_from(number) {
             return;
         }
         let runs = worker.runs.len();
         let change = "lists an end that may not count";
-        self.note(SchedulerNote::Worker { worker: id.clone(), change, runs });
+        self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
     }
 
     /// Moves the VMs of such workers once they are empty: their next life can be acknowledged.
@@ -99,14 +99,14 @@
         let withheld: Vec<Arc<str>> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.is_withheld() && worker.silent_since_ms.is_none())
+            .filter(|(_, worker)| worker.has_withheld_exit() && worker.silent_since_ms.is_none())
             .filter_map(|(id, _)| self.fleet.vm_of(id))
-            .filter(|vm| vm.state == VmState::Up && !self.fleet.intents.contains_key(&vm.vm))
+            .filter(|vm| vm.state == VmState::Up && !self.fleet.operations.contains_key(&vm.vm))
             .map(|vm| vm.vm.clone())
             .collect();
         for vm in withheld {
             let Some(pool) = self.other_pool(&vm) else { return };
-            self.intend(VmCommand::Assign { vm, pool }, now);
+            self.plan_operation(VmCommand::Assign { vm, pool }, now);
         }
     }
 
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -10,27 +10,27 @@
 #[derive(Clone, Debug)]
 pub enum SchedulerAction {
     /// Send the command that a run needs; see [`Scheduler::command`].
-    Send(WorkerTarget, TaskKey, u32),
+    SendCommand(WorkerTarget, TaskKey, u32),
     /// Stop a run that is on no book.
-    Stop(WorkerTarget, RunCall),
+    StopUntracked(WorkerTarget, RunCall),
     /// Let a run work at a share of its speed, in percent.
     Throttle(WorkerTarget, RunCall, u32),
     /// Keep renewing the leases of a worker.
-    Watch(WorkerTarget),
+    StartRenewals(WorkerTarget),
     /// Renew at once.
-    Wake(Arc<str>),
+    RenewNow(Arc<str>),
     /// Drop every call to a worker's life that is under way: the next one goes by the same name.
-    Forget(Arc<str>),
+    CancelCalls(Arc<str>),
     /// Fetch the list of VMs.
     ListVms,
     /// Command a VM, with this fencing token.
     CommandVm(VmCommand, u64),
     /// Tell operators of a wave: its number, and whether it is complete.
-    TellWave(u64, bool),
+    PublishWaveStatus(u64, bool),
     /// Ask for placement permits.
-    AskPermits(StepKey, Vec<Arc<str>>),
+    RequestPermits(StepKey, Vec<Arc<str>>),
     /// Log a decision.
-    Note(SchedulerNote),
+    Event(SchedulerEvent),
 }
 
 /// By which way a record of a caller came to the leader.
@@ -46,7 +46,7 @@
 
 /// A decision worth a log line.
 #[derive(Clone, Debug)]
-pub enum SchedulerNote {
+pub enum SchedulerEvent {
     /// A run was given to a worker.
     Placed {
         /// Task.
@@ -164,7 +164,7 @@
         view_ms: u64,
     },
     /// A worker lists a run for the first time after its job was over.
-    BegunOver {
+    StartedAfterEnd {
         /// Task.
         task: TaskKey,
         /// Run number.
@@ -175,7 +175,7 @@
         since_ms: u64,
     },
     /// Nothing is placed, as the job log has not been read for too long.
-    ViewOld {
+    ViewStale {
         /// Age of the view of the jobs, in milliseconds.
         view_ms: u64,
     },
--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -20,7 +20,7 @@
 impl Scheduler {
     /// What the workers say of themselves has been read through to its end, as it was at `shown_ms`.
     pub fn workers_read(&mut self, shown_ms: u64) {
-        self.rooms_ms = self.rooms_ms.max(shown_ms);
+        self.workers_read_ms = self.workers_read_ms.max(shown_ms);
         self.needs_dispatch = true;
     }
 
@@ -28,7 +28,7 @@
     pub(crate) fn is_capacity_view_fresh(&self, pool: &str, now: u64) -> bool {
         let has_admission_check =
             self.config.pool(pool).is_some_and(|pool| pool.has_admission_check);
-        has_admission_check || now <= self.rooms_ms + ROOM_AGE_MS
+        has_admission_check || now <= self.workers_read_ms + ROOM_AGE_MS
     }
 
     /// Takes what a worker says of itself, and takes back the starts that no longer fit, the latest first, or all
@@ -49,7 +49,7 @@
         // One that is stopped takes room until its end is known, so starts before it go too: together they
         // would be over the room if it was carried out after all.
         for (key, run) in self.pending_starts(&id) {
-            if self.workers.get(&id).is_none_or(|worker| worker.is_within_room()) {
+            if self.workers.get(&id).is_none_or(|worker| worker.is_within_capacity()) {
                 return;
             }
             self.take_back_start(&key, run, "no room any more", now);
--- a/src/scheduler/commit.rs
+++ b/src/scheduler/commit.rs
@@ -32,7 +32,7 @@
     /// Records.
     pub records: Vec<KeyedRecord>,
     /// The same, as a reader of the log sees them.
-    pub folded: Vec<JobRecord>,
+    pub decoded: Vec<JobRecord>,
     /// Batches of other entries that it carries.
     pub relayed: Vec<u64>,
     starts: Vec<(TaskKey, u32)>,
@@ -106,23 +106,23 @@
 
 impl CommitQueue {
     /// A job has changed.
-    pub fn mark(&mut self, job: JobId) {
+    pub fn mark_changed(&mut self, job: JobId) {
         self.jobs.insert(job);
     }
 
     /// A run may be started once its job's record is on the log.
-    pub fn start(&mut self, task: TaskKey, run: u32) {
+    pub fn queue_start(&mut self, task: TaskKey, run: u32) {
         self.jobs.insert(task.job);
         self.starts.push((task, run));
     }
 
     /// Runs that wait for the log.
-    pub fn open_starts(&self) -> usize {
+    pub fn pending_starts(&self) -> usize {
         self.starts.len()
     }
 
     /// Exits of a worker through this number have been taken in.
-    pub fn exits(&mut self, worker: Arc<str>, through: u64) {
+    pub fn queue_exits(&mut self, worker: Arc<str>, through: u64) {
         self.exits.insert(worker, through);
     }
 
@@ -132,12 +132,12 @@
     }
 
     /// A job that was about to be dropped was cancelled again: the record must not be dropped behind itself.
-    pub fn keep_job(&mut self, job: JobId) {
+    pub fn cancel_job_drop(&mut self, job: JobId) {
         self.drops.retain(|dropped| *dropped != job);
     }
 
     /// The same for a cancellation by an entry that did not know the job.
-    pub fn keep_tombstone(&mut self, job: JobId, mark: CallerMark) {
+    pub fn cancel_tombstone_drop(&mut self, job: JobId, mark: CallerMark) {
         self.tombstone_drops.retain(|dropped| *dropped != (job, mark));
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// VMs of a wave that have been maintained.
-    pub fn wave(&mut self, number: u64, done: BTreeSet<Arc<str>>) {
+    pub fn queue_wave(&mut self, number: u64, done: BTreeSet<Arc<str>>) {
         self.waves.insert(number, done);
     }
 
     /// VMs of a pool that have lost their workers lately.
-    pub fn losses(&mut self, service: Arc<str>, lost: Vec<LostVm>) {
+    pub fn queue_losses(&mut self, service: Arc<str>, lost: Vec<LostVm>) {
         self.losses.insert(service, lost);
     }
 
@@ -181,7 +181,7 @@
     /// log gets one append where each entry would make its own.
     pub fn relay(&mut self, token: u64, records: Vec<JobRecord>, now: u64) {
         for record in &records {
-            self.take_record_from(RecordSource::Relayed, record, now);
+            self.apply_record_from(RecordSource::Relayed, record, now);
         }
         self.commits.relayed.push_back((token, records.into()));
     }
@@ -218,7 +218,7 @@
         let dropped = self.commits.drops.len().min(drops_max);
         for job in self.commits.drops.drain(..dropped) {
             batch.records.extend(JobRecord::drop_records(job));
-            batch.folded.push(JobRecord::Dropped(job));
+            batch.decoded.push(JobRecord::Dropped(job));
         }
         // A job without its cancellation would run: its own keys go first.
         let is_dropped = self.commits.drops.is_empty();
@@ -226,7 +226,7 @@
             if is_dropped { self.commits.tombstone_drops.len().min(drops_max) } else { 0 };
         for (job, mark) in self.commits.tombstone_drops.drain(..dropped) {
             batch.records.push(JobRecord::drop_tombstone(job, mark));
-            batch.folded.push(JobRecord::TombstoneDropped(job, mark));
+            batch.decoded.push(JobRecord::TombstoneDropped(job, mark));
         }
         let (mut over, mut over_bytes) = (0, 0);
         while over < OVER_MAX
@@ -307,8 +307,8 @@
         }
         for (id, through) in &batch.exits {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.exits_logged = worker.exits_logged.max(*through);
-                self.actions.push(crate::scheduler::SchedulerAction::Wake(id.clone()));
+                worker.exits_committed = worker.exits_committed.max(*through);
+                self.actions.push(crate::scheduler::SchedulerAction::RenewNow(id.clone()));
             }
         }
         self.forget_finished();
@@ -327,7 +327,7 @@
             return;
         }
         live.enter(RunPhase::Starting, now);
-        self.attention.insert((*task, run));
+        self.pending_commands.insert((*task, run));
     }
 
     /// Drops jobs that are over and quiet from memory; the log has their last state.
@@ -352,6 +352,6 @@
     let Some(keyed) = record.encode() else { return 0 };
     let bytes = keyed.key.len() + keyed.value.len();
     batch.records.push(keyed);
-    batch.folded.push(record);
+    batch.decoded.push(record);
     bytes
 }
--- a/src/scheduler/copies.rs
+++ b/src/scheduler/copies.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::dispatch::PlaceQuery;
 use crate::scheduler::job::{LiveRun, RunPhase, StepRun};
 use crate::scheduler::stragglers::{median_runtime_ms, projected_runtime_ms};
-use crate::scheduler::worker::PlaceTerms;
+use crate::scheduler::worker::IsolationRule;
 
 /// Copies of a task that may run at once.
 const COPIES_MAX: usize = 2;
@@ -57,7 +57,7 @@
                 avoided: &avoided,
                 permitted: None,
                 rack: None,
-                terms: PlaceTerms::Usual,
+                terms: IsolationRule::Normal,
             };
             if let Some(worker) = self.find_worker(&service, &query, u64::MAX, now) {
                 let run = self.next_run(&key);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -6,8 +6,8 @@
 use crate::jobs::model::{ResourceVector, StepKey, StepSpec, TaskKey};
 use crate::scheduler::losses::PoolView;
 use crate::scheduler::rank::{JobRank, RankTier, rank};
-use crate::scheduler::worker::{PlaceTerms, WorkerRun};
-use crate::scheduler::{Scheduler, SchedulerAction, SchedulerNote};
+use crate::scheduler::worker::{IsolationRule, WorkerState};
+use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
 /// Workers named in one question for permits, as the platform allows.
 const PERMIT_WORKERS_MAX: usize = 100;
@@ -40,15 +40,15 @@
     /// Rack that it must be on.
     pub rack: Option<&'a str>,
     /// On what terms it starts.
-    pub terms: PlaceTerms,
+    pub terms: IsolationRule,
 }
 
 impl Scheduler {
     /// Places what is ready, best rank first.
     pub(crate) fn dispatch(&mut self, now: u64) {
-        if !self.knows_jobs(now) {
-            if !std::mem::replace(&mut self.is_blind, true) {
-                self.note(SchedulerNote::ViewOld { view_ms: self.view_age_ms(now) });
+        if !self.is_job_view_fresh(now) {
+            if !std::mem::replace(&mut self.is_view_stale, true) {
+                self.emit(SchedulerEvent::ViewStale { view_ms: self.view_age_ms(now) });
             }
             return;
         }
@@ -82,18 +82,18 @@
                 full.insert(step.service.clone(), booked);
             }
         }
-        if std::mem::take(&mut self.looks_for_copies) {
+        if std::mem::take(&mut self.is_copy_check_due) {
             self.place_copies(now);
         }
         self.clear_claims();
-        self.is_held_back = !self.has_start_room();
+        self.is_start_queue_full = !self.has_start_room();
     }
 
     /// Whether a part of the line has gone out since starts were held back: a look at all that waits costs
     /// too much for every single one.
     pub(crate) fn may_place_again(&self) -> bool {
-        let Some(most) = self.pace.starts_max else { return self.is_held_back };
-        self.is_held_back && self.open_starts() * 4 <= most * 3
+        let Some(most) = self.pace.starts_max else { return self.is_start_queue_full };
+        self.is_start_queue_full && self.open_starts() * 4 <= most * 3
     }
 
     /// Whether one more start could be sent soon. What is placed before that keeps room from tasks that
@@ -111,7 +111,7 @@
     /// nowhere. In a burst it spares the look at all that waits in line.
     fn largest_rooms(&self, now: u64) -> HashMap<Arc<str>, ResourceVector> {
         let mut rooms: HashMap<Arc<str>, ResourceVector> = HashMap::new();
-        for worker in self.workers.values().filter(|worker| worker.is_open(now)) {
+        for worker in self.workers.values().filter(|worker| worker.is_available(now)) {
             let free = worker.free();
             match rooms.get_mut(&worker.entry.service) {
                 Some(room) => *room = room.component_max(&free),
@@ -262,7 +262,7 @@
     fn has_other_open(&self, service: &str, avoided: &[Arc<str>], now: u64) -> bool {
         let is_other = |id: &Arc<str>| !avoided.contains(id);
         self.workers.iter().any(|(id, worker)| {
-            &*worker.entry.service == service && worker.is_open(now) && is_other(id)
+            &*worker.entry.service == service && worker.is_available(now) && is_other(id)
         })
     }
 
@@ -306,7 +306,7 @@
         if self.loss_count(key).total > 0 {
             avoided.extend(self.unsteady_workers(service, key, now));
         }
-        if is_urgent(spec) && self.fleet.hurried.contains(service) {
+        if is_urgent(spec) && self.fleet.urgent_pools.contains(service) {
             avoided.extend(self.due_workers(service));
         }
         avoided
@@ -317,7 +317,7 @@
     fn unsteady_workers(&self, service: &str, key: &TaskKey, now: u64) -> Vec<Arc<str>> {
         let is_on_trial = self.loss_count(key).is_on_trial();
         let workers = self.workers.iter().filter(|(_, worker)| &*worker.entry.service == service);
-        let is_unsteady = |(_, worker): &(&Arc<str>, &WorkerRun)| {
+        let is_unsteady = |(_, worker): &(&Arc<str>, &WorkerState)| {
             let address = worker.entry.address;
             match is_on_trial {
                 true => self.losses.has_unexplained_loss(address, now),
@@ -383,7 +383,7 @@
         if !is_asked && !pool.is_empty() {
             permits.asked_ms = Some(now);
             let named = pool.into_iter().take(PERMIT_WORKERS_MAX).collect();
-            self.actions.push(SchedulerAction::AskPermits(step.key, named));
+            self.actions.push(SchedulerAction::RequestPermits(step.key, named));
         }
         None
     }
@@ -411,7 +411,7 @@
             .iter()
             .filter(|(id, worker)| self.unclaimed(id, worker).covers(&booked))
             .filter(|(_, worker)| &*worker.entry.service == service)
-            .filter(|(_, worker)| worker.takes(query.terms, now))
+            .filter(|(_, worker)| worker.may_take(query.terms, now))
             .filter(|(id, worker)| is_allowed(id, worker, query))
             .filter(|(_, worker)| {
                 // Away from its data it takes longer than a short wait for room beside it.
@@ -438,18 +438,18 @@
             avoided: &[],
             permitted: None,
             rack: None,
-            terms: PlaceTerms::Usual,
+            terms: IsolationRule::Normal,
         };
         let service = self.service_of(job);
         let rank = JobRank { priority: queue.priority, tier: RankTier::Service, work: 0 };
-        let hosts: Vec<(bool, &WorkerRun)> = self
+        let hosts: Vec<(bool, &WorkerState)> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.entry.service == service && worker.takes_starts(now))
+            .filter(|(_, worker)| worker.entry.service == service && worker.may_take_starts(now))
             .filter(|(id, worker)| is_allowed(id, worker, &query))
             .map(|(id, worker)| (self.fleet.is_due(id), worker))
             .collect();
-        let is_hurried = self.fleet.hurried.contains(&service);
+        let is_hurried = self.fleet.urgent_pools.contains(&service);
         let has_lasting = is_hurried && hosts.iter().any(|(is_due, _)| !is_due);
         hosts.iter().filter(|(is_due, _)| !(has_lasting && *is_due)).any(|(_, worker)| {
             worker.free().covers(&spec.reservation())
@@ -458,7 +458,12 @@
     }
 
     /// How badly a worker fits; the least is best.
-    fn misfit(&self, worker: &WorkerRun, query: &PlaceQuery<'_>, now: u64) -> (u64, u64, u64, u64) {
+    fn misfit(
+        &self,
+        worker: &WorkerState,
+        query: &PlaceQuery<'_>,
+        now: u64,
+    ) -> (u64, u64, u64, u64) {
         let spec = query.spec;
         let is_far = u64::from(!is_near(worker, spec));
         let hosts_service = worker.runs.values().any(|run| run.is_service);
@@ -505,7 +510,7 @@
         && !spec.is_best_effort
 }
 
-pub(crate) fn is_near(worker: &WorkerRun, spec: &StepSpec) -> bool {
+pub(crate) fn is_near(worker: &WorkerState, spec: &StepSpec) -> bool {
     spec.data_rack.as_deref().is_none_or(|rack| worker.entry.rack() == rack)
 }
 
@@ -515,7 +520,7 @@
     (spec.estimate_ms as f64 * (factor - 1.0).max(0.0)) as u64
 }
 
-pub(crate) fn is_allowed(id: &Arc<str>, worker: &WorkerRun, query: &PlaceQuery<'_>) -> bool {
+pub(crate) fn is_allowed(id: &Arc<str>, worker: &WorkerState, query: &PlaceQuery<'_>) -> bool {
     let spec = query.spec;
     let has_label = spec
         .required_label
--- a/src/scheduler/downtime.rs
+++ b/src/scheduler/downtime.rs
@@ -17,7 +17,7 @@
 use crate::scheduler::dispatch::PlaceQuery;
 use crate::scheduler::job::{LiveRun, TaskRun};
 use crate::scheduler::losses::LONG_CRASH_WINDOW_MS;
-use crate::scheduler::worker::PlaceTerms;
+use crate::scheduler::worker::IsolationRule;
 
 /// Time without a run after which a service no longer waits for a calm pool or for a worker of its own, in
 /// milliseconds: well under the six seconds in which it must be back.
@@ -90,7 +90,7 @@
     /// Gives a task to a worker on these terms.
     pub(crate) fn plan_run_on(
         &mut self,
-        terms: PlaceTerms,
+        terms: IsolationRule,
         key: &TaskKey,
         run: u32,
         worker: &Arc<str>,
@@ -109,10 +109,10 @@
         &self,
         service: &str,
         query: &PlaceQuery<'_>,
-        terms: &[PlaceTerms],
+        terms: &[IsolationRule],
         waited_ms: u64,
         now: u64,
-    ) -> Option<(Arc<str>, PlaceTerms)> {
+    ) -> Option<(Arc<str>, IsolationRule)> {
         let is_overdue = terms.iter().any(|terms| terms.is_shared());
         let find = |query: &PlaceQuery<'_>| self.find_worker(service, query, waited_ms, now);
         let found = terms.iter().find_map(|terms| {
@@ -124,7 +124,7 @@
             Some((worker?, *terms))
         });
         // One that may wait no longer runs away from its data rather than not at all.
-        let is_anywhere = waited_ms < u64::MAX && terms.contains(&PlaceTerms::Anywhere);
+        let is_anywhere = waited_ms < u64::MAX && terms.contains(&IsolationRule::Unrestricted);
         match found {
             None if is_anywhere => self.find_on_terms(service, query, terms, u64::MAX, now),
             found => found,
@@ -138,27 +138,27 @@
         service: &Arc<str>,
         spec: &StepSpec,
         now: u64,
-    ) -> Vec<PlaceTerms> {
+    ) -> Vec<IsolationRule> {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         let Some(task) = task else { return Vec::new() };
         let is_overdue = task.is_overdue(spec.is_service, now);
         let Some(job) = self.probation_job(key) else {
-            let mut terms = vec![PlaceTerms::Usual];
-            terms.extend(is_overdue.then_some(PlaceTerms::Anywhere));
+            let mut terms = vec![IsolationRule::Normal];
+            terms.extend(is_overdue.then_some(IsolationRule::Unrestricted));
             return terms;
         };
         let has_room = self.has_probation_capacity(service, now);
-        let mut terms = Vec::from_iter(has_room.then_some(PlaceTerms::Alone(job)));
+        let mut terms = Vec::from_iter(has_room.then_some(IsolationRule::Exclusive(job)));
         if !task.losses.has_one_loss_left() {
             let is_apart = is_overdue || spec.is_service && task.losses.is_on_trial();
-            terms.extend(is_apart.then_some(PlaceTerms::Apart(APART_PROOF_MS)));
-            terms.extend(is_overdue.then_some(PlaceTerms::Anywhere));
+            terms.extend(is_apart.then_some(IsolationRule::ApartFromSuspects(APART_PROOF_MS)));
+            terms.extend(is_overdue.then_some(IsolationRule::Unrestricted));
         } else if is_overdue {
-            terms.push(PlaceTerms::Apart(LONG_CRASH_WINDOW_MS));
+            terms.push(IsolationRule::ApartFromSuspects(LONG_CRASH_WINDOW_MS));
             let is_quiet = self.losses.is_loss_free(service, QUIET_MS, now);
-            terms.extend(is_quiet.then_some(PlaceTerms::Apart(APART_PROOF_MS)));
+            terms.extend(is_quiet.then_some(IsolationRule::ApartFromSuspects(APART_PROOF_MS)));
             let is_late = is_quiet && task.is_absent(APART_WAIT_MAX_MS, now);
-            terms.extend(is_late.then_some(PlaceTerms::Anywhere));
+            terms.extend(is_late.then_some(IsolationRule::Unrestricted));
         }
         terms
     }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -13,9 +13,9 @@
 use crate::scheduler::demand::ArrivalRate;
 use crate::scheduler::incarnations::IncarnationTable;
 use crate::scheduler::losses::IncarnationEnd;
-use crate::scheduler::maintenance::WaveRun;
+use crate::scheduler::maintenance::WaveState;
 use crate::scheduler::needs::{NeedKind, PoolNeed, has_shortage, take_idle_vm};
-use crate::scheduler::{Scheduler, SchedulerAction, SchedulerNote};
+use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
 /// Time between two looks at the VM list while something is under way, in milliseconds.
 const LIST_BUSY_MS: u64 = 250;
@@ -51,7 +51,7 @@
 const CONSOLIDATE_SURPLUS: usize = 2;
 /// Where a command to a VM stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IntentPhase {
+pub enum OperationPhase {
     /// The VM is kept free of new work until it is empty.
     Draining,
     /// Sent; refused or not answered so far.
@@ -61,7 +61,7 @@
 }
 
 /// Time that lists of so many VMs rest on a link of so many Mbit/s, in milliseconds.
-pub fn list_rest_ms(vms: usize, link: u64) -> u64 {
+pub fn vm_list_pause_ms(vms: usize, link: u64) -> u64 {
     let bytes = u64::try_from(vms).unwrap_or(u64::MAX).saturating_mul(LIST_ROW_BYTES);
     let by_link = bytes.saturating_mul(8 * LIST_LINK_PART) / (link.max(1) * 1_000);
     by_link.max(bytes / LIST_BYTES_PER_MS).min(LIST_REST_MAX_MS)
@@ -69,11 +69,11 @@
 
 /// What is to become of a VM.
 #[derive(Clone, Debug)]
-pub struct VmIntent {
+pub struct VmOperation {
     /// Command.
     pub command: VmCommand,
     /// Where it stands.
-    pub phase: IntentPhase,
+    pub phase: OperationPhase,
     /// When it entered the phase, in milliseconds.
     pub since_ms: u64,
     /// Earliest time to send it (again), in milliseconds.
@@ -85,7 +85,7 @@
     pub is_in_doubt: bool,
 }
 
-impl VmIntent {
+impl VmOperation {
     /// Whether it takes the VM to this pool.
     pub fn is_for_pool(&self, pool: &str) -> bool {
         matches!(&self.command, VmCommand::Assign { pool: to, .. } if &**to == pool)
@@ -103,17 +103,17 @@
     /// VMs by name, as last listed.
     pub vms: BTreeMap<Arc<str>, VmEntry>,
     /// When the list was asked for, in milliseconds.
-    pub listed_ms: Option<u64>,
+    pub list_as_of_ms: Option<u64>,
     /// Whether a fresh list is wanted soon.
-    pub wants_list: bool,
+    pub is_list_wanted: bool,
     /// What is to become of VMs.
-    pub intents: BTreeMap<Arc<str>, VmIntent>,
+    pub operations: BTreeMap<Arc<str>, VmOperation>,
     /// Work that arrives, by pool.
     pub arrivals: BTreeMap<Arc<str>, ArrivalRate>,
     /// Waves by number.
-    pub waves: BTreeMap<u64, WaveRun>,
+    pub waves: BTreeMap<u64, WaveState>,
     /// Pools whose services must leave VMs faster than one by one for a wave to be in time.
-    pub hurried: BTreeSet<Arc<str>>,
+    pub urgent_pools: BTreeSet<Arc<str>>,
     by_worker: HashMap<Arc<str>, Arc<str>>,
     asked_ms: Option<u64>,
     /// Earliest time at which the list is asked for again, in milliseconds.
@@ -126,7 +126,12 @@
 
 impl FleetState {
     /// Takes a list that was asked for at `asked_ms`; the workers that it names are those of `lives`.
-    pub(crate) fn take_list(&mut self, vms: Vec<VmEntry>, lives: &IncarnationTable, asked_ms: u64) {
+    pub(crate) fn update_list(
+        &mut self,
+        vms: Vec<VmEntry>,
+        lives: &IncarnationTable,
+        asked_ms: u64,
+    ) {
         self.by_worker.clear();
         self.vms.clear();
         for mut vm in vms {
@@ -136,7 +141,7 @@
             }
             self.vms.insert(vm.vm.clone(), vm);
         }
-        self.listed_ms = Some(asked_ms);
+        self.list_as_of_ms = Some(asked_ms);
     }
 
     /// A worker has begun anew under its name: the list names it as before.
@@ -145,8 +150,8 @@
         if let Some(vm) = self.vms.get_mut(&name) {
             vm.worker = id.clone();
         }
-        if let Some(intent) = self.intents.get_mut(&name)
-            && intent.phase == IntentPhase::Draining
+        if let Some(intent) = self.operations.get_mut(&name)
+            && intent.phase == OperationPhase::Draining
         {
             intent.worker = id.clone();
         }
@@ -154,14 +159,14 @@
     }
 
     /// Takes a wave; one that is known keeps its progress.
-    pub fn take_wave(&mut self, wave: MaintenanceWave, done: BTreeSet<Arc<str>>, now: u64) {
-        let known = self.waves.entry(wave.number).or_insert_with(|| WaveRun::new(wave, now));
+    pub fn add_wave(&mut self, wave: MaintenanceWave, done: BTreeSet<Arc<str>>, now: u64) {
+        let known = self.waves.entry(wave.number).or_insert_with(|| WaveState::new(wave, now));
         known.done.extend(done);
     }
 
     /// State of the VM of each worker that the list shows, by the worker's name; nothing before a first list.
-    pub fn lives(&self) -> Option<HashMap<&str, VmState>> {
-        self.listed_ms?;
+    pub fn vm_states(&self) -> Option<HashMap<&str, VmState>> {
+        self.list_as_of_ms?;
         let shown = self.vms.values().filter(|vm| !vm.worker.is_empty());
         Some(shown.map(|vm| (worker_name(&vm.worker), vm.state)).collect())
     }
@@ -179,13 +184,13 @@
 
     /// VMs with a command to move them into a pool that the list does not show there yet.
     pub(crate) fn arriving(&self, pool: &str) -> usize {
-        self.intents.values().filter(|intent| intent.is_for_pool(pool)).count()
+        self.operations.values().filter(|intent| intent.is_for_pool(pool)).count()
     }
 }
 
 impl Scheduler {
     /// The list that was just taken rests for this time, in milliseconds.
-    pub fn rest_list(&mut self, rest_ms: u64, now: u64) {
+    pub fn pause_vm_list(&mut self, rest_ms: u64, now: u64) {
         self.fleet.rest_ms = rest_ms;
         self.fleet.rested_ms = now + rest_ms;
     }
@@ -199,7 +204,7 @@
         }
         self.fleet.planned_ms = now;
         let age_max_ms = LIST_AGE_MAX_MS + self.fleet.rest_ms;
-        let is_fresh = self.fleet.listed_ms.is_some_and(|listed| now < listed + age_max_ms);
+        let is_fresh = self.fleet.list_as_of_ms.is_some_and(|listed| now < listed + age_max_ms);
         if is_fresh {
             let needs = self.pool_needs(now);
             self.note_pools(&needs, now);
@@ -212,14 +217,14 @@
     }
 
     fn ask_list(&mut self, now: u64) {
-        let is_busy = self.fleet.wants_list
-            || !self.fleet.intents.is_empty()
+        let is_busy = self.fleet.is_list_wanted
+            || !self.fleet.operations.is_empty()
             || self.fleet.waves.values().any(|wave| !wave.is_completed);
         let gap = if is_busy { LIST_BUSY_MS } else { LIST_QUIET_MS };
         let is_due = self.fleet.asked_ms.is_none_or(|asked| now >= asked + gap);
         if is_due && now >= self.fleet.rested_ms {
             self.fleet.asked_ms = Some(now);
-            self.fleet.wants_list = false;
+            self.fleet.is_list_wanted = false;
             self.actions.push(SchedulerAction::ListVms);
         }
     }
@@ -228,7 +233,7 @@
     fn reserve_workers(&mut self) {
         let reserved: BTreeSet<Arc<str>> = self
             .fleet
-            .intents
+            .operations
             .keys()
             .filter_map(|vm| self.fleet.vms.get(vm))
             .map(|vm| vm.worker.clone())
@@ -241,7 +246,7 @@
     }
 
     fn advance_intents(&mut self, now: u64) {
-        let names: Vec<Arc<str>> = self.fleet.intents.keys().cloned().collect();
+        let names: Vec<Arc<str>> = self.fleet.operations.keys().cloned().collect();
         for name in names {
             self.settle_by_list(&name, now);
             self.advance_intent(&name, now);
@@ -254,60 +259,60 @@
     /// has come. And a VM that crashed meanwhile may have work again: the command is held back until it
     /// is empty, as for the first time.
     fn settle_by_list(&mut self, name: &Arc<str>, now: u64) {
-        let listed_ms = self.fleet.listed_ms.unwrap_or(0);
+        let list_as_of_ms = self.fleet.list_as_of_ms.unwrap_or(0);
         let Some(vm) = self.fleet.vms.get(name) else { return };
-        let Some(intent) = self.fleet.intents.get_mut(name) else { return };
-        if intent.phase != IntentPhase::Sent || listed_ms <= intent.since_ms {
+        let Some(intent) = self.fleet.operations.get_mut(name) else { return };
+        if intent.phase != OperationPhase::Sent || list_as_of_ms <= intent.since_ms {
             return;
         }
         if intent.is_for_pool(&vm.pool) {
-            intent.phase = IntentPhase::Accepted;
+            intent.phase = OperationPhase::Accepted;
             let worker = intent.worker.clone();
             self.end_incarnation(&worker, IncarnationEnd::Moved, now);
             return;
         }
         let is_other_life = !vm.worker.is_empty() && vm.worker != intent.worker;
         if is_other_life && matches!(intent.command, VmCommand::Assign { .. }) {
-            intent.phase = IntentPhase::Draining;
+            intent.phase = OperationPhase::Draining;
         }
     }
 
     fn advance_intent(&mut self, name: &Arc<str>, now: u64) {
         let fence = self.fence();
         let may_command = self.may_command_vms(now);
-        let listed_ms = self.fleet.listed_ms.unwrap_or(0);
+        let list_as_of_ms = self.fleet.list_as_of_ms.unwrap_or(0);
         let Some(vm) = self.fleet.vms.get(name).cloned() else {
-            self.fleet.intents.remove(name);
+            self.fleet.operations.remove(name);
             return;
         };
-        let is_empty = vm.worker.is_empty() || self.is_quiet(&vm.worker);
-        let Some(intent) = self.fleet.intents.get_mut(name) else { return };
+        let is_empty = vm.worker.is_empty() || self.is_drained(&vm.worker);
+        let Some(intent) = self.fleet.operations.get_mut(name) else { return };
         match intent.phase {
-            IntentPhase::Accepted => {
+            OperationPhase::Accepted => {
                 // A VM that is off has no worker by which it could be told that it was down; the list was
                 // asked for after the command had begun, and would show it so.
                 let is_back = vm.state == VmState::Up
-                    && listed_ms > intent.since_ms
+                    && list_as_of_ms > intent.since_ms
                     && (vm.worker != intent.worker || vm.worker.is_empty());
                 if is_back || now > intent.since_ms + COMMAND_FORGET_MS {
-                    self.fleet.intents.remove(name);
+                    self.fleet.operations.remove(name);
                 }
             }
-            IntentPhase::Draining if !is_empty => {}
-            IntentPhase::Draining | IntentPhase::Sent => {
+            OperationPhase::Draining if !is_empty => {}
+            OperationPhase::Draining | OperationPhase::Sent => {
                 if now < intent.retry_ms || !may_command {
                     return;
                 }
-                let is_first = intent.phase == IntentPhase::Draining;
+                let is_first = intent.phase == OperationPhase::Draining;
                 if let (VmCommand::Maintain { wave, .. }, true) = (&intent.command, is_first) {
                     let wave = *wave;
                     if !self.may_go_down(wave) {
                         return;
                     }
                 }
-                let Some(intent) = self.fleet.intents.get_mut(name) else { return };
+                let Some(intent) = self.fleet.operations.get_mut(name) else { return };
                 if is_first {
-                    intent.phase = IntentPhase::Sent;
+                    intent.phase = OperationPhase::Sent;
                     intent.since_ms = now;
                     intent.worker = vm.worker.clone();
                 }
@@ -320,29 +325,29 @@
     }
 
     /// Whether nothing runs on a worker and the log has all that ended there.
-    pub(crate) fn is_quiet(&self, worker: &str) -> bool {
-        self.workers
-            .get(worker)
-            .is_none_or(|worker| worker.runs.is_empty() && worker.exits_logged >= worker.exits_seen)
+    pub(crate) fn is_drained(&self, worker: &str) -> bool {
+        self.workers.get(worker).is_none_or(|worker| {
+            worker.runs.is_empty() && worker.exits_committed >= worker.exits_seen
+        })
     }
 
     /// A command to a VM was answered, or not.
     pub fn vm_commanded(&mut self, command: &VmCommand, outcome: VmOutcome, now: u64) {
         let name = command.vm().clone();
         let change = format!("{command:?}: {outcome:?}");
-        self.note(SchedulerNote::Vm { vm: name.clone(), change });
-        self.fleet.wants_list = true;
+        self.emit(SchedulerEvent::Vm { vm: name.clone(), change });
+        self.fleet.is_list_wanted = true;
         if outcome == VmOutcome::Fenced {
             self.is_deposed = true;
             return;
         }
-        let Some(intent) = self.fleet.intents.get_mut(&name) else { return };
+        let Some(intent) = self.fleet.operations.get_mut(&name) else { return };
         if intent.command != *command {
             return;
         }
         match outcome {
             VmOutcome::Done => {
-                intent.phase = IntentPhase::Accepted;
+                intent.phase = OperationPhase::Accepted;
                 intent.since_ms = now;
                 let worker = intent.worker.clone();
                 if let VmCommand::Maintain { wave, .. } = command {
@@ -359,10 +364,10 @@
             VmOutcome::Refused => intent.retry_ms = now + COMMAND_RETRY_MS,
             VmOutcome::Busy if intent.is_in_doubt => intent.retry_ms = now + COMMAND_RETRY_MS,
             VmOutcome::Busy => {
-                self.fleet.intents.remove(&name);
+                self.fleet.operations.remove(&name);
             }
             VmOutcome::Malformed => {
-                self.fleet.intents.remove(&name);
+                self.fleet.operations.remove(&name);
                 if let VmCommand::Maintain { wave, .. } = command {
                     self.not_of_wave(*wave, &name);
                 }
@@ -372,20 +377,20 @@
     }
 
     /// Plans a command for a VM.
-    pub(crate) fn intend(&mut self, command: VmCommand, now: u64) {
+    pub(crate) fn plan_operation(&mut self, command: VmCommand, now: u64) {
         let vm = command.vm().clone();
         let change = format!("{command:?}: planned");
-        self.note(SchedulerNote::Vm { vm: vm.clone(), change });
+        self.emit(SchedulerEvent::Vm { vm: vm.clone(), change });
         let worker = self.fleet.vms.get(&vm).map(|vm| vm.worker.clone()).unwrap_or_default();
-        let intent = VmIntent {
+        let intent = VmOperation {
             command,
-            phase: IntentPhase::Draining,
+            phase: OperationPhase::Draining,
             since_ms: now,
             retry_ms: now,
             worker: worker.clone(),
             is_in_doubt: false,
         };
-        self.fleet.intents.insert(vm, intent);
+        self.fleet.operations.insert(vm, intent);
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.is_reserved = true;
         }
@@ -406,7 +411,7 @@
                     if let Some(need) = needs.get_mut(&pool) {
                         need.arriving += 1;
                     }
-                    self.intend(VmCommand::Assign { vm, pool: pool.clone() }, now);
+                    self.plan_operation(VmCommand::Assign { vm, pool: pool.clone() }, now);
                 }
             }
         }
@@ -427,7 +432,10 @@
                     return;
                 }
                 allowed -= 1;
-                self.intend(VmCommand::Assign { vm: vm.clone(), pool: standby.clone() }, now);
+                self.plan_operation(
+                    VmCommand::Assign { vm: vm.clone(), pool: standby.clone() },
+                    now,
+                );
             }
         }
     }
@@ -438,7 +446,7 @@
         }
         self.fleet.noted_ms = now;
         for (pool, need) in needs {
-            self.note(SchedulerNote::Pool {
+            self.emit(SchedulerEvent::Pool {
                 pool: pool.clone(),
                 needed: need.needed,
                 usable: need.usable,
@@ -457,15 +465,15 @@
         };
         let kept: Vec<Arc<str>> = self
             .fleet
-            .intents
+            .operations
             .iter()
-            .filter(|(_, intent)| intent.phase == IntentPhase::Draining)
+            .filter(|(_, intent)| intent.phase == OperationPhase::Draining)
             .filter(|(_, intent)| intent.is_for_pool(standby))
             .filter(|(vm, _)| is_wanted(vm))
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in kept {
-            self.fleet.intents.remove(&vm);
+            self.fleet.operations.remove(&vm);
         }
     }
 
@@ -477,8 +485,8 @@
             if need.surplus(NeedKind::Soon) < CONSOLIDATE_SURPLUS || !need.idle.is_empty() {
                 continue;
             }
-            let is_busy = self.fleet.intents.iter().any(|(vm, intent)| {
-                intent.phase == IntentPhase::Draining
+            let is_busy = self.fleet.operations.iter().any(|(vm, intent)| {
+                intent.phase == OperationPhase::Draining
                     && self.fleet.vms.get(vm).is_some_and(|vm| vm.pool == *pool)
             });
             if is_busy {
@@ -487,7 +495,7 @@
             let fewest = self
                 .workers
                 .values()
-                .filter(|worker| worker.entry.service == *pool && worker.takes_starts(now))
+                .filter(|worker| worker.entry.service == *pool && worker.may_take_starts(now))
                 .filter(|worker| worker.runs.values().all(|run| run.is_service))
                 .filter(|worker| !worker.runs.is_empty())
                 .min_by_key(|worker| worker.runs.len());
@@ -495,7 +503,7 @@
             chosen.extend(vm.filter(|vm| vm.state == VmState::Up).map(|vm| vm.vm.clone()));
         }
         for vm in chosen {
-            self.intend(VmCommand::Assign { vm, pool: standby.clone() }, now);
+            self.plan_operation(VmCommand::Assign { vm, pool: standby.clone() }, now);
         }
     }
 
@@ -507,7 +515,7 @@
             .vms
             .values()
             .filter(|vm| is_standby(&vm.pool) && vm.state == VmState::Up)
-            .filter(|vm| !self.fleet.intents.contains_key(&vm.vm))
+            .filter(|vm| !self.fleet.operations.contains_key(&vm.vm))
             .map(|vm| (!self.fleet.waves.values().any(|wave| wave.is_due(&vm.vm)), vm.vm.clone()))
             .collect();
         vms.sort();
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -6,7 +6,7 @@
 use crate::jobs::model::{ResourceVector, StepSpec};
 use crate::scheduler::Scheduler;
 use crate::scheduler::dispatch::{PlaceQuery, ReadyStep, is_allowed, is_near, remote_cost_ms};
-use crate::scheduler::worker::PlaceTerms;
+use crate::scheduler::worker::IsolationRule;
 
 impl Scheduler {
     /// Places all members of a gang or none; false if there is no room.
@@ -58,14 +58,16 @@
         spec: &StepSpec,
         permitted: Option<Vec<Arc<str>>>,
         rack: Option<&str>,
-        terms: PlaceTerms,
+        terms: IsolationRule,
         now: u64,
     ) -> Option<Vec<Arc<str>>> {
         let (mut beside, racks) = (BTreeMap::new(), BTreeMap::new());
         let mut free: BTreeMap<&Arc<str>, ResourceVector> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.entry.service == step.service && worker.takes(terms, now))
+            .filter(|(_, worker)| {
+                worker.entry.service == step.service && worker.may_take(terms, now)
+            })
             .map(|(id, worker)| (id, self.unclaimed(id, worker)))
             .collect();
         let mut plan = Vec::with_capacity(step.waiting.len());
--- a/src/scheduler/incarnations.rs
+++ b/src/scheduler/incarnations.rs
@@ -22,8 +22,8 @@
 use crate::jobs::site::{WorkerEntry, incarnation_id, worker_name};
 use crate::scheduler::job::{LiveRun, RunPhase};
 use crate::scheduler::losses::IncarnationEnd;
-use crate::scheduler::worker::{BookedRun, WorkerRun};
-use crate::scheduler::{FENCES_PER_TERM, Scheduler, SchedulerAction, SchedulerNote};
+use crate::scheduler::worker::{PlacedRun, WorkerState};
+use crate::scheduler::{FENCING_TOKENS_PER_TERM, Scheduler, SchedulerAction, SchedulerEvent};
 
 /// The newest life that is known of each worker, and those before it.
 #[derive(Debug, Default)]
@@ -129,7 +129,7 @@
     /// A term has only so many tokens. Behind the last one another term begins, since the next life could not be told
     /// from the one before.
     fn check_tokens(&mut self, id: &str) {
-        self.is_deposed |= self.lives.fence_step(id) >= FENCES_PER_TERM;
+        self.is_deposed |= self.lives.fence_step(id) >= FENCING_TOKENS_PER_TERM;
     }
 
     /// The life `before` is over, and the same worker lives on as `entry` tells.
@@ -138,14 +138,14 @@
         let Some(old) = self.workers.remove(before) else { return };
         let runs = old.runs.len();
         let change = IncarnationEnd::Restarted.description();
-        self.note(SchedulerNote::Worker { worker: before.clone(), change, runs });
+        self.emit(SchedulerEvent::Worker { worker: before.clone(), change, runs });
         self.abandoned.forget_worker(before);
-        self.actions.push(SchedulerAction::Forget(before.clone()));
+        self.actions.push(SchedulerAction::CancelCalls(before.clone()));
         if old.draining_since_ms.is_none() {
             self.blame_runs(std::slice::from_ref(&old), now);
         }
         self.fleet.rename_worker(before, &id);
-        let carried: Vec<((TaskKey, u32), BookedRun)> = old
+        let carried: Vec<((TaskKey, u32), PlacedRun)> = old
             .runs
             .iter()
             .filter(|(key, _)| self.is_carried(key))
@@ -153,9 +153,9 @@
             .collect();
         // Whatever comes of those can have a lease that was asked for until now.
         let lease_ms = self.lease_ms() * 100 / 98 + self.bounds.stop_ms;
-        let bound = self.foreign_bound_ms.max(now + lease_ms);
+        let bound = self.predecessor_lease_bound_ms.max(now + lease_ms);
         let next =
-            self.workers.entry(id.clone()).or_insert_with(|| WorkerRun::new(entry, bound, now));
+            self.workers.entry(id.clone()).or_insert_with(|| WorkerState::new(entry, bound, now));
         let target = next.target();
         for ((key, run), booked) in &old.runs {
             if !carried.iter().any(|(carried, _)| carried == &(*key, *run)) {
@@ -165,9 +165,9 @@
         for ((key, run), booked) in carried {
             self.carry_over(&id, key, run, booked, now);
         }
-        self.actions.push(SchedulerAction::Watch(target));
+        self.actions.push(SchedulerAction::StartRenewals(target));
         self.needs_dispatch = true;
-        self.fleet.wants_list = true;
+        self.fleet.is_list_wanted = true;
     }
 
     /// Whether an acknowledgement can reach no exit but those of this life: all that was sent to it is listed by it.
@@ -176,7 +176,7 @@
         let Some(worker) = self.workers.get(id).filter(|_| worker_name(id) != id) else {
             return true;
         };
-        let is_open = |(key, run): (&(TaskKey, u32), &BookedRun)| {
+        let is_open = |(key, run): (&(TaskKey, u32), &PlacedRun)| {
             let task = self.jobs.get(&key.0.job).and_then(|job| job.task(&key.0));
             let live = task.and_then(|task| task.live.iter().find(|live| live.run == key.1));
             live.is_some_and(|live| may_still_come(live) && !(run.is_service && live.is_listed))
@@ -191,18 +191,18 @@
     }
 
     /// Books a run on the next life, which may have it: the report that it gives under the new token tells.
-    fn carry_over(&mut self, id: &Arc<str>, key: TaskKey, run: u32, booked: BookedRun, now: u64) {
-        self.attention.remove(&(key, run));
+    fn carry_over(&mut self, id: &Arc<str>, key: TaskKey, run: u32, booked: PlacedRun, now: u64) {
+        self.pending_commands.remove(&(key, run));
         let task = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(&key));
         let live = task.and_then(|task| task.live.iter_mut().find(|live| live.run == run));
         let Some(live) = live else { return };
         live.worker = id.clone();
         live.enter(RunPhase::Inherited, now);
         live.is_listed = false;
-        self.commits.mark(key.job);
+        self.commits.mark_changed(key.job);
         if let Some(worker) = self.workers.get_mut(id) {
             let span = Default::default();
-            worker.book((key, run), BookedRun { span, ..booked });
+            worker.add_run((key, run), PlacedRun { span, ..booked });
         }
     }
 
--- a/src/scheduler/loss_attribution.rs
+++ b/src/scheduler/loss_attribution.rs
@@ -10,8 +10,8 @@
 use crate::scheduler::losses::{
     ExposedRun, LOSSES_AT_START_MAX, PendingVerdict, VERDICT_MS, VerdictCause,
 };
-use crate::scheduler::worker::{BookedRun, WorkerRun};
-use crate::scheduler::{Scheduler, SchedulerNote};
+use crate::scheduler::worker::{PlacedRun, WorkerState};
+use crate::scheduler::{Scheduler, SchedulerEvent};
 
 impl Scheduler {
     /// Counts lost workers against what they ran. Before the runs are taken off the books: one record tells
@@ -19,7 +19,7 @@
     ///
     /// What is learned of together is weighed together: the first worker of a rack must not be judged as if
     /// the others had not gone.
-    pub(crate) fn blame_runs(&mut self, lost: &[WorkerRun], now: u64) {
+    pub(crate) fn blame_runs(&mut self, lost: &[WorkerState], now: u64) {
         let mut cases = Vec::with_capacity(lost.len());
         for worker in lost {
             let exposed = self.exposed_runs(worker, now);
@@ -58,7 +58,7 @@
         let concerned: BTreeSet<Arc<str>> = near.map(|job| self.service_of(job)).collect();
         for service in services.into_iter().filter(|service| concerned.contains(service)) {
             let record = self.losses.record(&service, now, self.wall_ms);
-            self.commits.losses(service, record);
+            self.commits.queue_losses(service, record);
         }
     }
 
@@ -66,7 +66,7 @@
     /// names nobody; the runs that were counted, and whether at their start.
     pub(crate) fn blame_silent(
         &mut self,
-        worker: &WorkerRun,
+        worker: &WorkerState,
         now: u64,
     ) -> BTreeMap<(TaskKey, u32), bool> {
         let exposed = self.exposed_runs(worker, now);
@@ -111,9 +111,9 @@
 
     /// Runs whose start may have reached the worker. One that waits to be sent, as the worker did not answer
     /// before it, tells that it was gone already.
-    fn exposed_runs(&self, worker: &WorkerRun, now: u64) -> Vec<ExposedRun> {
-        let is_behind = self.is_behind(now);
-        let expose = |((task, run), booked): (&(TaskKey, u32), &BookedRun)| {
+    fn exposed_runs(&self, worker: &WorkerState, now: u64) -> Vec<ExposedRun> {
+        let is_lagging = self.is_lagging(now);
+        let expose = |((task, run), booked): (&(TaskKey, u32), &PlacedRun)| {
             let lives = &self.jobs.get(&task.job)?.task(task)?.live;
             let live = lives.iter().find(|live| live.run == *run)?;
             let is_waiting = match live.phase {
@@ -121,7 +121,7 @@
                 RunPhase::Starting => !live.is_sent,
                 RunPhase::Running | RunPhase::Inherited | RunPhase::Stopping => false,
             };
-            let is_unknown = is_behind || live.phase == RunPhase::Inherited;
+            let is_unknown = is_lagging || live.phase == RunPhase::Inherited;
             let run = ExposedRun { task: *task, run: *run, booked: *booked, is_unknown };
             (!is_waiting).then_some(run)
         };
@@ -147,7 +147,7 @@
         self.loss_count(key).is_exhausted()
     }
 
-    fn count_losses(&mut self, exposed: &[ExposedRun], worker: &WorkerRun, now: u64) {
+    fn count_losses(&mut self, exposed: &[ExposedRun], worker: &WorkerState, now: u64) {
         for run in exposed.iter().filter(|run| !run.is_clear()) {
             let Some(job) = self.jobs.get_mut(&run.task.job) else { continue };
             let Some(task) = job.task_mut(&run.task) else { continue };
@@ -159,9 +159,9 @@
             task.losses.add(run.is_at_start());
             let (losses, is_over) = (task.losses, task.losses.is_exhausted());
             self.losses.track_losses(run.task.job, &losses);
-            self.commits.mark(run.task.job);
+            self.commits.mark_changed(run.task.job);
             if losses.is_on_trial() && !is_over {
-                self.note(SchedulerNote::OnTrial { task: run.task, lost: losses.total });
+                self.emit(SchedulerEvent::OnTrial { task: run.task, lost: losses.total });
             }
             if is_over {
                 self.defer_verdict(VerdictCause::Exhausted, run.task, worker, now);
@@ -173,11 +173,11 @@
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(task) = job.task_mut(key) else { return };
         task.losses.take_back(is_at_start);
-        self.commits.mark(key.job);
+        self.commits.mark_changed(key.job);
     }
 
     /// Holds the task back until its verdict.
-    fn defer_verdict(&mut self, cause: VerdictCause, key: TaskKey, worker: &WorkerRun, now: u64) {
+    fn defer_verdict(&mut self, cause: VerdictCause, key: TaskKey, worker: &WorkerState, now: u64) {
         let task = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(&key));
         if let Some(task) = task {
             task.not_before_ms = now + VERDICT_MS;
@@ -193,7 +193,7 @@
             return;
         }
         let lost = self.loss_count(key).total;
-        self.note(SchedulerNote::GivenUp { task: *key, lost, reason });
+        self.emit(SchedulerEvent::GivenUp { task: *key, lost, reason });
         self.finish_job(key.job, JobState::Failed, now);
     }
 
@@ -224,7 +224,7 @@
     pub(crate) fn has_probation_capacity(&self, service: &Arc<str>, now: u64) -> bool {
         let (mut all, mut at_risk) = (0, 0);
         for worker in self.workers.values().filter(|worker| worker.entry.service == *service) {
-            all += usize::from(worker.is_open(now));
+            all += usize::from(worker.is_available(now));
             at_risk += usize::from(worker.has_probation());
         }
         at_risk * 2 < all.max(1)
--- a/src/scheduler/losses.rs
+++ b/src/scheduler/losses.rs
@@ -33,7 +33,7 @@
 use crate::jobs::record::{LossCount, LostVm};
 use crate::jobs::site::WorkerEntry;
 use crate::scheduler::job::TaskRun;
-use crate::scheduler::worker::BookedRun;
+use crate::scheduler::worker::PlacedRun;
 
 /// Time at work, by the worker's clock, after which a start is not what ends its worker, in milliseconds. A longer time
 /// suspects more tasks that merely were there, and gives other failures longer to fall into a probation.
@@ -171,7 +171,7 @@
     /// Run number.
     pub run: u32,
     /// What was booked for it.
-    pub booked: BookedRun,
+    pub booked: PlacedRun,
     /// Started by an earlier leader, and not told of by its worker since; or we are behind ourselves. For how
     /// long it was at work is not known.
     pub is_unknown: bool,
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -10,7 +10,7 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::ports::VmCommand;
 use crate::jobs::site::{MaintenanceWave, VmState};
-use crate::scheduler::fleet::{IntentPhase, VmIntent};
+use crate::scheduler::fleet::{OperationPhase, VmOperation};
 use crate::scheduler::job::{LiveRun, TaskRun};
 use crate::scheduler::{Scheduler, SchedulerAction};
 
@@ -29,7 +29,7 @@
 
 /// A wave under way.
 #[derive(Clone, Debug)]
-pub struct WaveRun {
+pub struct WaveState {
     /// What is asked.
     pub wave: MaintenanceWave,
     /// VMs whose maintenance has begun or is over.
@@ -41,10 +41,16 @@
     is_told: bool,
 }
 
-impl WaveRun {
+impl WaveState {
     /// A wave that is seen now.
-    pub fn new(wave: MaintenanceWave, now: u64) -> WaveRun {
-        WaveRun { wave, done: BTreeSet::new(), since_ms: now, is_completed: false, is_told: false }
+    pub fn new(wave: MaintenanceWave, now: u64) -> WaveState {
+        WaveState {
+            wave,
+            done: BTreeSet::new(),
+            since_ms: now,
+            is_completed: false,
+            is_told: false,
+        }
     }
 
     /// Whether a VM is still to be maintained.
@@ -77,7 +83,7 @@
             .filter(|run| !run.is_completed)
             .map(|run| run.wave.number)
             .collect();
-        self.fleet.hurried.clear();
+        self.fleet.urgent_pools.clear();
         for number in numbers {
             self.plan_wave(number, is_scarce, now);
         }
@@ -95,11 +101,11 @@
             .collect();
         if left.is_empty() {
             run.is_completed = true;
-            self.actions.push(SchedulerAction::TellWave(number, true));
+            self.actions.push(SchedulerAction::PublishWaveStatus(number, true));
             return;
         }
         if !is_told {
-            self.actions.push(SchedulerAction::TellWave(number, false));
+            self.actions.push(SchedulerAction::PublishWaveStatus(number, false));
         }
         let deadline = run.since_ms + run.wave.within_ms;
         let parallel_max = run.wave.parallel_max.max(1);
@@ -109,7 +115,7 @@
         let mut slots = parallel_max.saturating_sub(planned);
         let mut candidates: Vec<(EmptyingCost, u64, Arc<str>)> = left
             .into_iter()
-            .filter(|vm| !self.fleet.intents.contains_key(vm))
+            .filter(|vm| !self.fleet.operations.contains_key(vm))
             .filter_map(|vm| self.emptying_cost(&vm, now).map(|(cost, load)| (cost, load, vm)))
             .collect();
         candidates.sort();
@@ -123,7 +129,7 @@
             if cost == EmptyingCost::Evict || (!is_free && running >= wanted) {
                 break;
             }
-            self.intend(VmCommand::Maintain { vm, wave: number }, now);
+            self.plan_operation(VmCommand::Maintain { vm, wave: number }, now);
             slots -= 1;
         }
     }
@@ -141,7 +147,7 @@
         let mut emptied = self.emptied_by_pool(number);
         for (_, _, vm) in candidates.iter().filter(|(cost, ..)| *cost == EmptyingCost::Evict) {
             let Some(pool) = self.fleet.vms.get(vm).map(|vm| vm.pool.clone()) else { continue };
-            let most = match self.fleet.hurried.contains(&pool) {
+            let most = match self.fleet.urgent_pools.contains(&pool) {
                 true => (self.pool_size(&pool) / EMPTIED_PART).max(1),
                 false => 1,
             };
@@ -149,7 +155,7 @@
             // One VM waits for its budgets where it is: a task that stays away must not hold the wave up.
             if *count < most && (*count == 0 || self.budgets_allow(vm)) {
                 *count += 1;
-                self.intend(VmCommand::Maintain { vm: vm.clone(), wave: number }, now);
+                self.plan_operation(VmCommand::Maintain { vm: vm.clone(), wave: number }, now);
             }
         }
     }
@@ -166,7 +172,7 @@
         };
         let pools = self.config.pools.iter().filter(|pool| !pool.is_standby);
         let late: Vec<Arc<str>> = pools.map(|pool| pool.name.clone()).filter(is_late).collect();
-        self.fleet.hurried.extend(late);
+        self.fleet.urgent_pools.extend(late);
     }
 
     /// VMs of a pool that have services and are still to be maintained.
@@ -182,8 +188,8 @@
     /// VMs of each pool that are being emptied for a wave.
     fn emptied_by_pool(&self, number: u64) -> BTreeMap<Arc<str>, usize> {
         let mut emptied = BTreeMap::new();
-        for (vm, intent) in &self.fleet.intents {
-            if intent.phase != IntentPhase::Draining || !intent.is_for_wave(number) {
+        for (vm, intent) in &self.fleet.operations {
+            if intent.phase != OperationPhase::Draining || !intent.is_for_wave(number) {
                 continue;
             }
             if let Some(vm) = self.fleet.vms.get(vm) {
@@ -245,8 +251,8 @@
             .filter(|name| {
                 let is_down =
                     self.fleet.vms.get(*name).is_some_and(|vm| vm.state == VmState::InMaintenance);
-                let is_sent = self.fleet.intents.get(*name).is_some_and(|intent| {
-                    intent.is_for_wave(number) && intent.phase != IntentPhase::Draining
+                let is_sent = self.fleet.operations.get(*name).is_some_and(|intent| {
+                    intent.is_for_wave(number) && intent.phase != OperationPhase::Draining
                 });
                 is_down || is_sent
             })
@@ -255,15 +261,15 @@
 
     /// VMs of a wave that are down or kept for it, without those whose services are being moved.
     fn planned(&self, number: u64) -> usize {
-        let has_service = |intent: &VmIntent| {
+        let has_service = |intent: &VmOperation| {
             let worker = self.workers.get(&intent.worker);
             worker.is_some_and(|worker| worker.runs.values().any(|run| run.is_service))
         };
         let kept = self
             .fleet
-            .intents
+            .operations
             .values()
-            .filter(|intent| intent.is_for_wave(number) && intent.phase == IntentPhase::Draining)
+            .filter(|intent| intent.is_for_wave(number) && intent.phase == OperationPhase::Draining)
             .filter(|intent| !has_service(intent))
             .count();
         self.under_way(number) + kept
@@ -305,14 +311,14 @@
 
     /// Moves services off VMs that are being emptied, as their budgets allow.
     pub(crate) fn evict_services(&mut self, now: u64) {
-        if self.is_behind(now) {
+        if self.is_lagging(now) {
             return;
         }
         let emptied: Vec<Arc<str>> = self
             .fleet
-            .intents
+            .operations
             .values()
-            .filter(|intent| intent.phase == IntentPhase::Draining)
+            .filter(|intent| intent.phase == OperationPhase::Draining)
             .map(|intent| intent.worker.clone())
             .collect();
         for id in emptied {
@@ -346,7 +352,7 @@
     pub(crate) fn maintained(&mut self, number: u64, vm: &Arc<str>) {
         let Some(run) = self.fleet.waves.get_mut(&number) else { return };
         run.done.insert(vm.clone());
-        self.commits.wave(number, run.done.clone());
+        self.commits.queue_wave(number, run.done.clone());
     }
 
     /// The platform says that a VM does not belong to the wave.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -54,7 +54,7 @@
     MaintenanceWave, QueueSpec, SiteBounds, SiteConfig, VmEntry, WorkerEntry, worker_name,
 };
 use crate::scheduler::abandoned::AbandonedRuns;
-pub use crate::scheduler::action::{RecordSource, SchedulerAction, SchedulerNote};
+pub use crate::scheduler::action::{RecordSource, SchedulerAction, SchedulerEvent};
 use crate::scheduler::commit::CommitQueue;
 use crate::scheduler::fleet::FleetState;
 use crate::scheduler::incarnations::IncarnationTable;
@@ -66,21 +66,21 @@
 use crate::scheduler::share::ShareLimiter;
 use crate::scheduler::tombstones::TombstoneTable;
 use crate::scheduler::waits::WaitLog;
-use crate::scheduler::worker::WorkerRun;
+use crate::scheduler::worker::WorkerState;
 
 /// Fencing tokens that one term may use: room for a leader to raise its own.
-pub const FENCES_PER_TERM: u64 = 1 << 10;
+pub const FENCING_TOKENS_PER_TERM: u64 = 1 << 10;
 /// Time without a confirmation of our leadership after which no lease is extended and nothing is
 /// started, in milliseconds. A successor waits it out before it takes runs on workers that it can't
 /// reach for dead; three renewals of the leadership fit in.
-pub const CONFIRMATION_MS: u64 = 1_600;
+pub const CONFIRMATION_TIMEOUT_MS: u64 = 1_600;
 /// Time without a confirmation after which no VM is commanded, in milliseconds: a renewal, and a slow
 /// log's answer to it. With the life of a command it ends before others may claim, so that no takeover
 /// after a silence has to wait for it.
-pub const VM_CONFIRMATION_MS: u64 = 800;
+pub const VM_CONFIRMATION_TIMEOUT_MS: u64 = 800;
 /// Time after its last confirmation at which no command of a leader to a VM can be carried out any more,
 /// in milliseconds.
-pub const VM_COMMAND_LIFE_MS: u64 = VM_CONFIRMATION_MS + VM_COMMAND_TIMEOUT_MS;
+pub const VM_COMMAND_LIFETIME_MS: u64 = VM_CONFIRMATION_TIMEOUT_MS + VM_COMMAND_TIMEOUT_MS;
 /// Time for which a late answer shows that we are behind, in milliseconds.
 const LATE_AGE_MS: u64 = 2_000;
 /// Workers with late answers that show it: so many, and one in so many; a few can be slow themselves.
@@ -105,9 +105,9 @@
     /// When the newest confirmation of this leadership was sent, in milliseconds.
     pub confirmed_ms: u64,
     /// When the job log held no more than the book has, in milliseconds.
-    pub jobs_ms: u64,
+    pub jobs_read_ms: u64,
     /// When what workers say of themselves was asked for, in milliseconds.
-    pub rooms_ms: u64,
+    pub workers_read_ms: u64,
     /// Now, in milliseconds of the steady clock.
     pub now: u64,
     /// Now, in milliseconds since the epoch.
@@ -115,9 +115,9 @@
 }
 
 /// When the last command of a leader to a VM has been carried out or never will, in milliseconds.
-fn vm_bound_ms(leader: LeaderTrace) -> u64 {
+fn predecessor_vm_bound_ms(leader: LeaderTrace) -> u64 {
     match leader.end {
-        PredecessorEnd::Unknown => leader.seen_ms + VM_COMMAND_LIFE_MS,
+        PredecessorEnd::Unknown => leader.seen_ms + VM_COMMAND_LIFETIME_MS,
         PredecessorEnd::Resigned => 0,
         // Our clock began after it had ended; the service may still be at work on what it had sent.
         PredecessorEnd::Restarted => VM_COMMAND_TIMEOUT_MS,
@@ -139,8 +139,8 @@
     config: Arc<SiteConfig>,
     /// Queues by name: as configured now, else as they last were, as jobs may still name them.
     queues: HashMap<Arc<str>, QueueSpec>,
-    foreign_bound_ms: u64,
-    vm_bound_ms: u64,
+    predecessor_lease_bound_ms: u64,
+    predecessor_vm_bound_ms: u64,
     confirmed_ms: u64,
     is_deposed: bool,
     jobs: HashMap<JobId, JobRun>,
@@ -150,10 +150,10 @@
     /// Jobs that are over, and since when this process knows that, in milliseconds: a wall clock may be set forward.
     finished: BTreeMap<JobId, u64>,
     tombstones: TombstoneTable,
-    workers: BTreeMap<Arc<str>, WorkerRun>,
+    workers: BTreeMap<Arc<str>, WorkerState>,
     /// Ends of the leases of workers that were dropped as nothing runs there, in milliseconds: they may be listed again.
-    dropped_bounds: BTreeMap<Arc<str>, u64>,
-    attention: BTreeSet<(TaskKey, u32)>,
+    dropped_lease_bounds: BTreeMap<Arc<str>, u64>,
+    pending_commands: BTreeSet<(TaskKey, u32)>,
     abandoned: AbandonedRuns,
     losses: LossTracker,
     lives: IncarnationTable,
@@ -161,11 +161,11 @@
     organisations: OrganisationLedger,
     shares: ShareLimiter,
     /// When what workers say of themselves was last read through, in milliseconds.
-    rooms_ms: u64,
+    workers_read_ms: u64,
     /// When the job log held no more than what we have been told, in milliseconds.
-    jobs_ms: u64,
+    jobs_read_ms: u64,
     /// Whether nothing was placed as the jobs are not known well enough.
-    is_blind: bool,
+    is_view_stale: bool,
     permits: HashMap<StepKey, StepPermits>,
     claims: CapacityClaims,
     commits: CommitQueue,
@@ -174,9 +174,9 @@
     actions: Vec<SchedulerAction>,
     needs_dispatch: bool,
     /// Whether the next placement looks for tasks that need a copy: every tenth of a second is soon enough.
-    looks_for_copies: bool,
+    is_copy_check_due: bool,
     /// Whether tasks with room wait only for starts before them to go out.
-    is_held_back: bool,
+    is_start_queue_full: bool,
     next_sweep_ms: u64,
     wall_ms: u64,
 }
@@ -187,20 +187,20 @@
         let SchedulerStart { term, bounds, config, predecessor, now, wall_ms, .. } = start;
         // The leader before extends no lease later than this long after it was last confirmed.
         let lease_ms = bounds.lease_max_ms * 100 / 98 + 100;
-        let foreign_bound_ms =
-            predecessor.map_or(0, |leader| leader.seen_ms + CONFIRMATION_MS + lease_ms);
+        let predecessor_lease_bound_ms =
+            predecessor.map_or(0, |leader| leader.seen_ms + CONFIRMATION_TIMEOUT_MS + lease_ms);
         // A VM service that checks no tokens would carry its commands out after ours.
-        let vm_bound_ms = match bounds.are_vms_fenced {
+        let predecessor_vm_bound_ms = match bounds.are_vms_fenced {
             true => 0,
-            false => predecessor.map_or(0, vm_bound_ms),
+            false => predecessor.map_or(0, predecessor_vm_bound_ms),
         };
         let mut scheduler = Scheduler {
             term,
             bounds,
             config,
             queues: HashMap::new(),
-            foreign_bound_ms,
-            vm_bound_ms,
+            predecessor_lease_bound_ms,
+            predecessor_vm_bound_ms,
             confirmed_ms: start.confirmed_ms,
             is_deposed: false,
             jobs: HashMap::new(),
@@ -209,17 +209,17 @@
             finished: BTreeMap::new(),
             tombstones: TombstoneTable::default(),
             workers: BTreeMap::new(),
-            dropped_bounds: BTreeMap::new(),
-            attention: BTreeSet::new(),
+            dropped_lease_bounds: BTreeMap::new(),
+            pending_commands: BTreeSet::new(),
             abandoned: AbandonedRuns::default(),
             losses: LossTracker::open(now),
             lives: IncarnationTable::default(),
             waits: WaitLog::open(now),
             organisations: OrganisationLedger::default(),
             shares: ShareLimiter::default(),
-            rooms_ms: start.rooms_ms,
-            jobs_ms: start.jobs_ms,
-            is_blind: false,
+            workers_read_ms: start.workers_read_ms,
+            jobs_read_ms: start.jobs_read_ms,
+            is_view_stale: false,
             permits: HashMap::new(),
             claims: CapacityClaims::default(),
             commits: CommitQueue::default(),
@@ -227,8 +227,8 @@
             pace: FlowPace::default(),
             actions: Vec::new(),
             needs_dispatch: true,
-            looks_for_copies: false,
-            is_held_back: false,
+            is_copy_check_due: false,
+            is_start_queue_full: false,
             next_sweep_ms: now,
             wall_ms,
         };
@@ -294,7 +294,7 @@
 
     /// Fencing token of its commands.
     pub fn fence(&self) -> u64 {
-        self.term * FENCES_PER_TERM
+        self.term * FENCING_TOKENS_PER_TERM
     }
 
     /// Whether somebody with a higher term was seen: nothing may be done any more.
@@ -319,37 +319,38 @@
 
     /// Whether we are behind ourselves: answers of several workers come after their time. What is believed
     /// of the workers is old then, and their silence is ours.
-    pub(crate) fn is_behind(&self, now: u64) -> bool {
-        let is_late =
-            |worker: &&WorkerRun| worker.late_ms.is_some_and(|late| now < late + LATE_AGE_MS);
+    pub(crate) fn is_lagging(&self, now: u64) -> bool {
+        let is_late = |worker: &&WorkerState| {
+            worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS)
+        };
         let late = self.workers.values().filter(is_late).count();
         late >= LATE_WORKERS_MIN.max(self.workers.len() / LATE_WORKERS_PART)
     }
 
     /// We have been told of all that the job log held at `shown_ms`.
     pub fn jobs_read(&mut self, shown_ms: u64) {
-        if shown_ms > self.jobs_ms {
-            self.jobs_ms = shown_ms;
-            self.needs_dispatch |= std::mem::take(&mut self.is_blind);
+        if shown_ms > self.jobs_read_ms {
+            self.jobs_read_ms = shown_ms;
+            self.needs_dispatch |= std::mem::take(&mut self.is_view_stale);
         }
     }
 
     /// Whether starts may go by what we know of the jobs. One of a job that was cancelled by another entry, while
     /// our reads of the log are late, would run for nobody: half of the time until nothing of it may start is left
     /// for the start's own way.
-    pub(crate) fn knows_jobs(&self, now: u64) -> bool {
-        now <= self.jobs_ms + self.bounds.cancel_ms / 2
+    pub(crate) fn is_job_view_fresh(&self, now: u64) -> bool {
+        now <= self.jobs_read_ms + self.bounds.cancel_ms / 2
     }
 
     /// When the latest start that is decided now may begin, in milliseconds. A cancellation that we have not been told
     /// of was acknowledged after the log held no more than we know.
     pub(crate) fn start_deadline_ms(&self) -> u64 {
-        self.jobs_ms + self.bounds.cancel_ms.saturating_sub(START_MARGIN_MS)
+        self.jobs_read_ms + self.bounds.cancel_ms.saturating_sub(START_MARGIN_MS)
     }
 
     /// Age of what we know of the jobs, in milliseconds.
     pub fn view_age_ms(&self, now: u64) -> u64 {
-        now.saturating_sub(self.jobs_ms)
+        now.saturating_sub(self.jobs_read_ms)
     }
 
     /// Age of the newest confirmation of our leadership, in milliseconds.
@@ -358,13 +359,15 @@
     }
 
     fn is_confirmed(&self, now: u64) -> bool {
-        now < self.confirmed_ms + CONFIRMATION_MS
+        now < self.confirmed_ms + CONFIRMATION_TIMEOUT_MS
     }
 
     /// Whether VMs may be commanded: no successor can have begun to, and no command of the leader before
     /// is under way any more.
     pub fn may_command_vms(&self, now: u64) -> bool {
-        !self.is_deposed && now >= self.vm_bound_ms && now < self.confirmed_ms + VM_CONFIRMATION_MS
+        !self.is_deposed
+            && now >= self.predecessor_vm_bound_ms
+            && now < self.confirmed_ms + VM_CONFIRMATION_TIMEOUT_MS
     }
 
     fn lease_ms(&self) -> u64 {
@@ -376,8 +379,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn note(&mut self, note: SchedulerNote) {
-        self.actions.push(SchedulerAction::Note(note));
+    fn emit(&mut self, emit: SchedulerEvent) {
+        self.actions.push(SchedulerAction::Event(emit));
     }
 
     /// A new configuration is in force.
@@ -433,11 +436,11 @@
     }
 
     /// A record of the job log that others may have written.
-    pub fn take_record(&mut self, record: &JobRecord, now: u64) {
-        self.take_record_from(RecordSource::Read, record, now);
+    pub fn apply_record(&mut self, record: &JobRecord, now: u64) {
+        self.apply_record_from(RecordSource::Read, record, now);
     }
 
-    pub(crate) fn take_record_from(&mut self, source: RecordSource, record: &JobRecord, now: u64) {
+    pub(crate) fn apply_record_from(&mut self, source: RecordSource, record: &JobRecord, now: u64) {
         match record {
             JobRecord::Submitted(job, submission) => {
                 // Repeats of a submission come seconds late, also after the job is over.
@@ -486,7 +489,7 @@
             // Another entry has stored the job, and we have yet to read it: the cancellation came sooner, by the
             // relay. Forgotten, it would never be heard of again, and the job would run.
             self.finished.entry(id).or_insert(now);
-            self.commits.keep_job(id);
+            self.commits.cancel_job_drop(id);
             return;
         };
         if job.state.is_final() {
@@ -497,8 +500,8 @@
         self.finished.insert(id, now);
         self.losses.forget_job(id);
         let age_ms = now.saturating_sub(job.arrived_ms);
-        self.note(SchedulerNote::JobState { job: id, state: JobState::Cancelled, age_ms });
-        self.commits.mark(id);
+        self.emit(SchedulerEvent::JobState { job: id, state: JobState::Cancelled, age_ms });
+        self.commits.mark_changed(id);
         self.stop_all(id, now);
     }
 
@@ -510,18 +513,22 @@
         let id = entry.id.clone();
         self.needs_dispatch = true;
         let Some(worker) = self.workers.get_mut(&id) else {
-            let bound = self.dropped_bounds.remove(&id).unwrap_or(0).max(self.foreign_bound_ms);
-            let worker = WorkerRun::new(entry, bound, now);
+            let bound = self
+                .dropped_lease_bounds
+                .remove(&id)
+                .unwrap_or(0)
+                .max(self.predecessor_lease_bound_ms);
+            let worker = WorkerState::new(entry, bound, now);
             let target = worker.target();
             self.workers.insert(id.clone(), worker);
-            self.note(SchedulerNote::Worker { worker: id, change: "listed", runs: 0 });
-            self.actions.push(SchedulerAction::Watch(target));
+            self.emit(SchedulerEvent::Worker { worker: id, change: "listed", runs: 0 });
+            self.actions.push(SchedulerAction::StartRenewals(target));
             return;
         };
         if entry.is_draining && !worker.entry.is_draining {
             worker.draining_since_ms = Some(now);
             let runs = worker.runs.len();
-            self.note(SchedulerNote::Worker { worker: id, change: "draining", runs });
+            self.emit(SchedulerEvent::Worker { worker: id, change: "draining", runs });
             self.update_worker_entry(entry, now);
             return;
         }
@@ -532,7 +539,7 @@
         let target = WorkerTarget { id, address: entry.address };
         self.update_worker_entry(entry, now);
         if !was_listed {
-            self.actions.push(SchedulerAction::Watch(target));
+            self.actions.push(SchedulerAction::StartRenewals(target));
         }
     }
 
@@ -549,12 +556,12 @@
         worker.is_listed = false;
         worker.silent_since_ms.get_or_insert(now);
         let (runs, bound) = (worker.runs.len(), worker.lease_bound_ms());
-        self.note(SchedulerNote::Worker { worker: id.clone(), change: "not listed", runs });
+        self.emit(SchedulerEvent::Worker { worker: id.clone(), change: "not listed", runs });
         if runs == 0 {
             self.workers.remove(id);
-            self.dropped_bounds.insert(id.clone(), bound);
+            self.dropped_lease_bounds.insert(id.clone(), bound);
         }
-        self.fleet.wants_list = true;
+        self.fleet.is_list_wanted = true;
         self.needs_dispatch = true;
     }
 
@@ -573,19 +580,19 @@
     }
 
     /// The VM list, as it was when it was asked for at `asked_ms`.
-    pub fn take_vms(&mut self, vms: Vec<VmEntry>, asked_ms: u64, now: u64) {
-        self.fleet.take_list(vms, &self.lives, asked_ms);
+    pub fn update_vms(&mut self, vms: Vec<VmEntry>, asked_ms: u64, now: u64) {
+        self.fleet.update_list(vms, &self.lives, asked_ms);
         self.end_vanished_workers(asked_ms, now);
         self.needs_dispatch = true;
     }
 
     /// A wave of maintenance, and which VMs of it have been maintained already.
-    pub fn take_wave(&mut self, wave: MaintenanceWave, done: BTreeSet<Arc<str>>, now: u64) {
-        self.fleet.take_wave(wave, done, now);
+    pub fn add_wave(&mut self, wave: MaintenanceWave, done: BTreeSet<Arc<str>>, now: u64) {
+        self.fleet.add_wave(wave, done, now);
     }
 
     /// Permits of a step have come; none if there was no answer.
-    pub fn take_permits(&mut self, step: StepKey, grant: Option<PermitGrant>, now: u64) {
+    pub fn update_permits(&mut self, step: StepKey, grant: Option<PermitGrant>, now: u64) {
         let permits = self.permits.entry(step).or_default();
         permits.asked_ms = None;
         if let Some(grant) = grant {
@@ -606,14 +613,14 @@
         self.give_up_due_jobs(now);
         if now >= self.next_sweep_ms {
             self.next_sweep_ms = now + runs::SWEEP_INTERVAL_MS;
-            if !self.is_behind(now) {
+            if !self.is_lagging(now) {
                 self.move_stragglers(now);
             }
             self.stop_broken_gangs(now);
             self.drop_finished_jobs(now);
             self.log_waits(now);
-            self.dropped_bounds.retain(|_, bound| now < *bound);
-            self.looks_for_copies = true;
+            self.dropped_lease_bounds.retain(|_, bound| now < *bound);
+            self.is_copy_check_due = true;
             self.needs_dispatch = true;
         }
         self.plan_fleet(now);
@@ -641,8 +648,8 @@
     }
 
     /// Figures for metrics and status.
-    pub fn census(&self) -> SchedulerCensus {
-        let mut census = SchedulerCensus { jobs: self.jobs.len(), ..Default::default() };
+    pub fn stats(&self) -> SchedulerStats {
+        let mut census = SchedulerStats { jobs: self.jobs.len(), ..Default::default() };
         for worker in self.workers.values() {
             census.workers += usize::from(worker.is_listed);
             census.silent += usize::from(worker.silent_since_ms.is_some());
@@ -654,7 +661,7 @@
 
 /// Figures of a leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SchedulerCensus {
+pub struct SchedulerStats {
     /// Jobs that are not over.
     pub jobs: usize,
     /// Workers that are listed.
--- a/src/scheduler/needs.rs
+++ b/src/scheduler/needs.rs
@@ -64,8 +64,8 @@
                 let is_usable = worker.silent_since_ms.is_none()
                     && !worker.entry.is_draining
                     && !worker.is_reserved
-                    && !worker.is_withheld()
-                    && worker.is_fenced;
+                    && !worker.has_withheld_exit()
+                    && worker.has_accepted_token;
                 if !is_usable {
                     continue;
                 }
@@ -75,8 +75,8 @@
                 let vm = self.fleet.vm_of(&worker.entry.id);
                 arrived += usize::from(vm.is_none());
                 if let Some(vm) = vm.filter(|vm| vm.state == VmState::Up)
-                    && self.is_quiet(&worker.entry.id)
-                    && !self.fleet.intents.contains_key(&vm.vm)
+                    && self.is_drained(&worker.entry.id)
+                    && !self.fleet.operations.contains_key(&vm.vm)
                 {
                     let idle_ms = now.saturating_sub(worker.idle_since_ms);
                     need.idle.push((vm.vm.clone(), idle_ms));
@@ -93,7 +93,8 @@
                 coming.add(&services);
                 booked = booked.component_max(&coming);
             }
-            let lasting = if self.fleet.hurried.contains(&pool.name) { LASTING_VMS } else { 0 };
+            let lasting =
+                if self.fleet.urgent_pools.contains(&pool.name) { LASTING_VMS } else { 0 };
             let apart = apart + lasting;
             need.needed_now = vms_for(&waiting, &room).max(apart).max(1);
             need.needed = vms_for(&booked, &room).max(need.needed_now);
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -57,7 +57,7 @@
 
 /// A worker that gets no new work, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DoubtedWorker {
+pub struct UnavailableWorker {
     /// Its id.
     pub worker: Arc<str>,
     /// Its pool.
@@ -81,7 +81,7 @@
     /// Waves by number.
     pub waves: Vec<WaveOverview>,
     /// Workers that get no new work.
-    pub doubted: Vec<DoubtedWorker>,
+    pub doubted: Vec<UnavailableWorker>,
     /// Commands to VMs that are not through.
     pub vm_commands: usize,
 }
@@ -101,7 +101,7 @@
             organisations: self.organisation_overviews(),
             waves: waves.collect(),
             doubted: self.doubted_workers(now),
-            vm_commands: self.fleet.intents.len(),
+            vm_commands: self.fleet.operations.len(),
         }
     }
 
@@ -157,7 +157,7 @@
         organisations
     }
 
-    fn doubted_workers(&self, now: u64) -> Vec<DoubtedWorker> {
+    fn doubted_workers(&self, now: u64) -> Vec<UnavailableWorker> {
         let mut doubted = Vec::new();
         for (id, worker) in &self.workers {
             let reason = if worker.silent_since_ms.is_some() {
@@ -171,7 +171,7 @@
             } else {
                 continue;
             };
-            doubted.push(DoubtedWorker {
+            doubted.push(UnavailableWorker {
                 worker: id.clone(),
                 pool: worker.entry.service.clone(),
                 reason: reason.to_owned(),
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::dispatch::{PlaceQuery, is_allowed};
 use crate::scheduler::job::{LiveRun, RunPhase};
 use crate::scheduler::rank::JobRank;
-use crate::scheduler::worker::WorkerRun;
+use crate::scheduler::worker::WorkerState;
 
 /// Time after which the room of a run that is being stopped is not counted on, in milliseconds: its stops may all be
 /// lost.
@@ -39,7 +39,7 @@
     }
 
     /// What is free on a worker and promised to nobody.
-    pub(crate) fn unclaimed(&self, id: &Arc<str>, worker: &WorkerRun) -> ResourceVector {
+    pub(crate) fn unclaimed(&self, id: &Arc<str>, worker: &WorkerState) -> ResourceVector {
         let free = worker.free();
         let Some(promised) = self.claims.promised.get(id) else { return free };
         let coming = self.claims.coming.as_ref().and_then(|coming| coming.get(id).copied()?);
@@ -63,7 +63,7 @@
         let mut best: Option<(Displacement, Arc<str>)> = None;
         for (id, worker) in &self.workers {
             if &*worker.entry.service != service
-                || !worker.takes(query.terms, now)
+                || !worker.may_take(query.terms, now)
                 || !is_allowed(id, worker, query)
             {
                 continue;
@@ -93,7 +93,7 @@
     /// Whether a worker has room for a service task, or would if other tasks were displaced.
     pub(crate) fn may_preempt_for(
         &self,
-        worker: &WorkerRun,
+        worker: &WorkerState,
         spec: &StepSpec,
         rank: JobRank,
         now: u64,
@@ -104,7 +104,7 @@
     }
 
     /// Room of a worker's runs that are being stopped; nothing if one of them should have ended by now.
-    fn coming(&self, worker: &WorkerRun, now: u64) -> Option<ResourceVector> {
+    fn coming(&self, worker: &WorkerState, now: u64) -> Option<ResourceVector> {
         let mut coming = ResourceVector::default();
         for ((key, run), booked) in &worker.runs {
             let Some(live) = self.live(key, *run) else { continue };
@@ -120,7 +120,7 @@
     }
 
     /// What is free on a worker or will be soon, and promised to nobody; nothing where a stop is overdue.
-    fn promisable(&self, id: &Arc<str>, worker: &WorkerRun) -> Option<ResourceVector> {
+    fn promisable(&self, id: &Arc<str>, worker: &WorkerState) -> Option<ResourceVector> {
         let coming = self.claims.coming.as_ref()?.get(id).copied()??;
         let mut room = worker.free();
         room.add(&coming);
@@ -130,7 +130,7 @@
     /// What must be displaced on a worker with so much room to come, the least work first.
     fn displacement(
         &self,
-        worker: &WorkerRun,
+        worker: &WorkerState,
         mut room: ResourceVector,
         spec: &StepSpec,
         rank: JobRank,
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -11,7 +11,7 @@
 };
 use crate::scheduler::job::{LiveRun, RunPhase};
 use crate::scheduler::losses::{CRASH_WINDOW_MS, IncarnationEnd};
-use crate::scheduler::{LATE_AGE_MS, Scheduler, SchedulerNote};
+use crate::scheduler::{LATE_AGE_MS, Scheduler, SchedulerEvent};
 
 /// Longest wait for an exit in one renewal. Also the age at which a worker's silence is noticed and
 /// its gauges are read again; shorter waits cost a call each.
@@ -75,32 +75,32 @@
         if !worker.is_listed && worker.runs.is_empty() {
             return RenewPlan::Stop;
         }
-        if now < worker.renew_ms {
-            return RenewPlan::Wait(Duration::from_millis(worker.renew_ms - now));
+        if now < worker.next_renewal_ms {
+            return RenewPlan::Wait(Duration::from_millis(worker.next_renewal_ms - now));
         }
         let is_silent = worker.silent_since_ms.is_some();
-        let has_untold = worker.exits_tellable() > worker.exits_told;
-        if worker.is_fenced && !is_silent && worker.runs.is_empty() && !has_untold {
+        let has_untold = worker.exits_acknowledgeable() > worker.exits_acknowledged;
+        if worker.has_accepted_token && !is_silent && worker.runs.is_empty() && !has_untold {
             return RenewPlan::Wait(Duration::from_secs(60));
         }
         // The same exits would be listed again at once until the log has them.
-        let waits_for_log = worker.exits_seen > worker.exits_logged;
+        let waits_for_log = worker.exits_seen > worker.exits_committed;
         let is_recent = now < worker.report_ms + COMMIT_WAIT_MS;
-        if worker.is_fenced && waits_for_log && is_recent {
+        if worker.has_accepted_token && waits_for_log && is_recent {
             return RenewPlan::Wait(Duration::from_millis(worker.report_ms + COMMIT_WAIT_MS - now));
         }
         // Leases of a worker that doesn't answer must run out, or its tasks could never be started
         // elsewhere; so must those of runs that are all to be stopped, as each stop can be lost.
         // One whose answers come late looks silent whenever a renewal is due.
-        let answers_late = worker.late_ms.is_some_and(|late| now < late + LATE_AGE_MS);
+        let answers_late = worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS);
         let extends = is_confirmed && is_wanted && (!is_silent || answers_late);
         let lease_until_ms = if extends { worker.lease_until(lease_ms, now) } else { None };
         // An exit that is listed already would end the wait at once.
-        let waits = worker.is_fenced
+        let waits = worker.has_accepted_token
             && !is_silent
             && !waits_for_log
             && !worker.runs.is_empty()
-            && !worker.is_withheld();
+            && !worker.has_withheld_exit();
         let wait = match waits {
             true if worker.has_waiting_suspect() => Duration::ZERO,
             true if now > worker.report_ms + IDLE_REPORT_MS => Duration::ZERO,
@@ -108,7 +108,7 @@
             true => renew_wait,
             false => Duration::ZERO,
         };
-        let acked_exits = if may_acknowledge { worker.exits_tellable() } else { 0 };
+        let acked_exits = if may_acknowledge { worker.exits_acknowledgeable() } else { 0 };
         let call = RenewCall { fence, acked_exits, lease_until_ms, wait };
         RenewPlan::Call(worker.target(), call, patience)
     }
@@ -146,10 +146,10 @@
         now: u64,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.late_ms = Some(now);
+        worker.late_answer_ms = Some(now);
         let runs = worker.runs.len();
         let change = "answers late";
-        self.note(SchedulerNote::Worker { worker: id.clone(), change, runs });
+        self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
         self.take_report(id, call, report, sent_ms, now);
     }
 
@@ -170,7 +170,7 @@
             }
             CommandOutcome::Refused(..) => {
                 let Some(worker) = self.workers.get_mut(id) else { return };
-                worker.renew_ms = now + SILENT_GAP_MS;
+                worker.next_renewal_ms = now + SILENT_GAP_MS;
             }
             CommandOutcome::Unknown => self.not_answered(id, sent_ms, now),
         }
@@ -178,14 +178,14 @@
 
     fn not_answered(&mut self, id: &Arc<str>, sent_ms: u64, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.renew_ms = now + SILENT_GAP_MS;
+        worker.next_renewal_ms = now + SILENT_GAP_MS;
         let was_silent = worker.silent_since_ms.is_some();
         worker.silent_since_ms.get_or_insert(sent_ms.max(worker.report_ms));
         let runs = worker.runs.len();
-        self.fleet.wants_list = true;
+        self.fleet.is_list_wanted = true;
         if !was_silent {
             let change = "does not answer";
-            self.note(SchedulerNote::Worker { worker: id.clone(), change, runs });
+            self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
             self.needs_dispatch = true;
         }
     }
@@ -203,30 +203,30 @@
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         let was_silent = worker.silent_since_ms.take().is_some();
-        let was_fenced = std::mem::replace(&mut worker.is_fenced, true);
+        let was_fenced = std::mem::replace(&mut worker.has_accepted_token, true);
         if !was_fenced {
-            worker.fenced_ms = now;
+            worker.token_accepted_ms = now;
             self.end_other_lives(id, now);
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.sample_clock_since(report.clock_ms, sent_ms, now);
         worker.report_ms = now;
-        worker.hold_lease(call.lease_until_ms.unwrap_or(0));
-        worker.exits_told = worker.exits_told.max(call.acked_exits);
+        worker.confirm_lease(call.lease_until_ms.unwrap_or(0));
+        worker.exits_acknowledged = worker.exits_acknowledged.max(call.acked_exits);
         let has_more = !report.exits.is_empty() || !report.running.is_empty();
         // The first report under our token gave no lease yet.
         let gap_ms = match was_fenced && !was_silent {
-            true if worker.is_withheld() => WITHHELD_GAP_MS,
+            true if worker.has_withheld_exit() => WITHHELD_GAP_MS,
             // More exits then share a report, and a report is the larger part of what comes in.
             true => RENEW_GAP_MS + self.pace.line_ms.min(LINE_GAP_MAX_MS),
             false => 0,
         };
-        worker.renew_ms = now + if has_more { gap_ms } else { 0 };
+        worker.next_renewal_ms = now + if has_more { gap_ms } else { 0 };
         if !was_fenced || was_silent {
             self.needs_dispatch = true;
             let change = if was_fenced { "answers again" } else { "is ours" };
             let runs = self.workers.get(id).map_or(0, |worker| worker.runs.len());
-            self.note(SchedulerNote::Worker { worker: id.clone(), change, runs });
+            self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
         }
         if was_silent {
             self.forgive_runs(id);
@@ -244,7 +244,7 @@
         let mut proved = Vec::new();
         for told in &report.running {
             let key = (told.task, told.run);
-            worker.see_run(&key, report.clock_ms);
+            worker.observe_run(&key, report.clock_ms);
             if self.losses.is_suspected(&told.task) && worker.has_settled(&key) {
                 proved.push(told.task);
             }
@@ -264,14 +264,14 @@
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.exits_seen = through;
             }
-            self.commits.exits(id.clone(), through);
+            self.commits.queue_exits(id.clone(), through);
         }
     }
 
     fn take_exit(&mut self, id: &Arc<str>, exit: &TaskExit, now: u64) {
         let how = exit_word(exit.kind);
         let (task, run) = (exit.task, exit.run);
-        self.note(SchedulerNote::Ended { task, run, worker: id.clone(), how });
+        self.emit(SchedulerEvent::Ended { task, run, worker: id.clone(), how });
         if self.must_withhold(id, exit) {
             self.withhold(id, exit.number);
             return;
@@ -323,7 +323,7 @@
 
     fn credit_worker(&mut self, id: &Arc<str>, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.judge(true, now);
+            worker.record_outcome(true, now);
         }
     }
 
@@ -337,7 +337,7 @@
         if let Some(worker) = self.workers.get_mut(id)
             && !fails_elsewhere
         {
-            worker.judge(false, now);
+            worker.record_outcome(false, now);
         }
         if let Some(task) = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(key)) {
             task.failed_on.push(id.clone());
@@ -361,7 +361,7 @@
         if !is_new {
             return;
         }
-        self.commits.mark(key.job);
+        self.commits.mark_changed(key.job);
         self.needs_dispatch = true;
         for index in done {
             let copy = TaskKey { index: u32::try_from(index).unwrap_or(u32::MAX), ..*key };
@@ -421,7 +421,7 @@
             task.failures += 1;
             task.failures
         };
-        self.commits.mark(key.job);
+        self.commits.mark_changed(key.job);
         if failures >= attempts {
             self.finish_job(key.job, JobState::Failed, now);
         }
@@ -454,8 +454,8 @@
         let age_ms = now.saturating_sub(job.arrived_ms);
         self.finished.insert(id, now);
         self.losses.forget_job(id);
-        self.note(SchedulerNote::JobState { job: id, state, age_ms });
-        self.commits.mark(id);
+        self.emit(SchedulerEvent::JobState { job: id, state, age_ms });
+        self.commits.mark_changed(id);
         self.stop_all(id, now);
     }
 
@@ -475,7 +475,7 @@
         // A stop that an earlier leader sent is through by then. Until it is, the worker lists the
         // run as if it stayed; counted as at work, another task of its step would be stopped beside
         // it, and more be away than its disruption budget allows.
-        let settled_ms = worker.fenced_ms + self.bounds.stop_ms;
+        let settled_ms = worker.token_accepted_ms + self.bounds.stop_ms;
         let is_settled = sent_ms > settled_ms;
         for (key, run) in &booked {
             match told.get(&(*key, *run)) {
@@ -537,7 +537,7 @@
         let is_stopping = live.phase == RunPhase::Stopping;
         if is_over && is_stopping && !was_listed && live.begun_ms == 0 {
             let (worker, since_ms) = (live.worker.clone(), now.saturating_sub(live.phase_since_ms));
-            self.note(SchedulerNote::BegunOver { task: *key, run, worker, since_ms });
+            self.emit(SchedulerEvent::StartedAfterEnd { task: *key, run, worker, since_ms });
             return;
         }
         if is_over || task.is_done {
@@ -559,7 +559,7 @@
             .and_then(|task| task.live.iter().find(|live| live.run == run))
         else {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.release(&(*key, run), now);
+                worker.remove_run(&(*key, run), now);
             }
             return;
         };
@@ -573,7 +573,7 @@
         };
         if is_over {
             let how = "not on the worker";
-            self.note(SchedulerNote::Ended { task: *key, run, worker: id.clone(), how });
+            self.emit(SchedulerEvent::Ended { task: *key, run, worker: id.clone(), how });
             self.remove_run(key, run, now);
         }
     }
@@ -585,14 +585,14 @@
         let booked = self.booked_beside(key, run);
         let Some(worker) = self.workers.get_mut(id) else { return };
         // A late answer may list a run that has ended since.
-        let booked = booked.filter(|_| worker.late_ms != Some(now));
+        let booked = booked.filter(|_| worker.late_answer_ms != Some(now));
         let is_told = booked.is_some() && !worker.second_runs.insert((*key, run));
         let call = crate::jobs::ports::RunCall { task: *key, run, fence };
         let reason = "not on the books";
-        self.actions.push(crate::scheduler::SchedulerAction::Stop(worker.target(), call));
-        self.note(SchedulerNote::Stopped { task: *key, run, reason });
+        self.actions.push(crate::scheduler::SchedulerAction::StopUntracked(worker.target(), call));
+        self.emit(SchedulerEvent::Stopped { task: *key, run, reason });
         if let Some(booked) = booked.filter(|_| !is_told) {
-            self.note(SchedulerNote::SecondRun { task: *key, run, worker: id.clone(), booked });
+            self.emit(SchedulerEvent::SecondRun { task: *key, run, worker: id.clone(), booked });
         }
     }
 
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -10,8 +10,8 @@
 use crate::jobs::site::{VmState, worker_name};
 use crate::scheduler::job::{LiveRun, RunPhase, TaskRun};
 use crate::scheduler::losses::IncarnationEnd;
-use crate::scheduler::worker::{BookedRun, WorkSpan, WorkerRun};
-use crate::scheduler::{Scheduler, SchedulerAction, SchedulerNote};
+use crate::scheduler::worker::{PlacedRun, WorkSpan, WorkerState};
+use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
 /// Time between two looks at how runs get on, in milliseconds.
 pub const SWEEP_INTERVAL_MS: u64 = 100;
@@ -51,7 +51,7 @@
         booked.is_shared = booked.is_service;
         let runs: Vec<(Arc<str>, u32)> =
             task.live.iter().map(|live| (live.worker.clone(), live.run)).collect();
-        let bound = self.foreign_bound_ms;
+        let bound = self.predecessor_lease_bound_ms;
         let organisation = job.submission.organisation.clone();
         let need = job.spec(key).map(|spec| spec.need).unwrap_or_default();
         for (worker, run) in runs {
@@ -59,8 +59,8 @@
             let entry = self
                 .workers
                 .entry(worker.clone())
-                .or_insert_with(|| WorkerRun::unlisted(worker, bound, now));
-            entry.book((*key, run), booked);
+                .or_insert_with(|| WorkerState::unlisted(worker, bound, now));
+            entry.add_run((*key, run), booked);
         }
     }
 
@@ -81,18 +81,18 @@
         let whole_ms = self.bounds.cancel_ms;
         if let Some(entry) = self.workers.get_mut(worker) {
             // The lease that its start brings ends soon, and nothing was renewed while nothing was wanted there.
-            if !entry.holds_lease(whole_ms, now) {
-                self.actions.push(SchedulerAction::Wake(worker.clone()));
+            if !entry.has_lease_for(whole_ms, now) {
+                self.actions.push(SchedulerAction::RenewNow(worker.clone()));
             }
-            entry.book((*key, run), booked);
+            entry.add_run((*key, run), booked);
         }
-        self.commits.start(*key, run);
-        self.note(SchedulerNote::Placed { task: *key, run, worker: worker.clone(), age_ms });
+        self.commits.queue_start(*key, run);
+        self.emit(SchedulerEvent::Placed { task: *key, run, worker: worker.clone(), age_ms });
     }
 
     /// Takes a run off the books: it is over, or was never begun.
     pub(crate) fn remove_run(&mut self, key: &TaskKey, run: u32, now: u64) {
-        self.attention.remove(&(*key, run));
+        self.pending_commands.remove(&(*key, run));
         self.needs_dispatch = true;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(task) = job.task_mut(key) else { return };
@@ -103,9 +103,9 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let need = job.spec(key).map(|spec| spec.need).unwrap_or_default();
         self.organisations.remove_run(job.submission.organisation.as_ref(), &need);
-        self.commits.mark(key.job);
+        self.commits.mark_changed(key.job);
         if let Some(worker) = self.workers.get_mut(&live.worker) {
-            worker.release(&(*key, run), now);
+            worker.remove_run(&(*key, run), now);
         }
     }
 
@@ -137,8 +137,8 @@
             RunPhase::Planned => self.remove_run(key, run, now),
             RunPhase::Starting | RunPhase::Running | RunPhase::Inherited => {
                 live.enter(RunPhase::Stopping, now);
-                self.attention.insert((*key, run));
-                self.note(SchedulerNote::Stopped { task: *key, run, reason });
+                self.pending_commands.insert((*key, run));
+                self.emit(SchedulerEvent::Stopped { task: *key, run, reason });
             }
         }
     }
@@ -148,14 +148,14 @@
         if !self.is_confirmed(now) {
             return;
         }
-        let due: Vec<(TaskKey, u32)> = self.attention.iter().copied().collect();
+        let due: Vec<(TaskKey, u32)> = self.pending_commands.iter().copied().collect();
         for (key, run) in due {
             let Some(live) = self.live_mut(&key, run) else {
-                self.attention.remove(&(key, run));
+                self.pending_commands.remove(&(key, run));
                 continue;
             };
             if !matches!(live.phase, RunPhase::Starting | RunPhase::Stopping) {
-                self.attention.remove(&(key, run));
+                self.pending_commands.remove(&(key, run));
                 continue;
             }
             if now < live.retry_ms {
@@ -167,7 +167,7 @@
             let is_silent = worker.silent_since_ms.is_some();
             let is_held = match phase {
                 // It extends no lease, and gets there where only the answers are late.
-                RunPhase::Stopping => !worker.takes_stops() || is_silent && now < quiet_ms,
+                RunPhase::Stopping => !worker.may_take_stops() || is_silent && now < quiet_ms,
                 // To a worker that doesn't answer it would prolong the time after which its runs are
                 // known to be over.
                 _ => is_silent || !worker.is_listed,
@@ -176,7 +176,7 @@
                 continue;
             }
             if phase == RunPhase::Starting && !worker.may_start_now(&(key, run), since_ms) {
-                self.actions.push(SchedulerAction::Wake(id));
+                self.actions.push(SchedulerAction::RenewNow(id));
                 continue;
             }
             let target = worker.target();
@@ -184,13 +184,13 @@
                 live.retry_ms = now + COMMAND_RETRY_MS;
                 live.stops += u32::from(phase == RunPhase::Stopping);
             }
-            self.actions.push(SchedulerAction::Send(target, key, run));
+            self.actions.push(SchedulerAction::SendCommand(target, key, run));
         }
     }
 
     /// Where calls reach a worker now; nothing while only the log tells of it.
     pub fn target_of(&self, id: &str) -> Option<WorkerTarget> {
-        self.workers.get(id).filter(|worker| worker.has_address()).map(WorkerRun::target)
+        self.workers.get(id).filter(|worker| worker.has_address()).map(WorkerState::target)
     }
 
     /// Whether a run waits to be started.
@@ -200,7 +200,7 @@
 
     /// Starts that were decided and not answered.
     pub(crate) fn open_starts(&self) -> usize {
-        self.commits.open_starts() + self.attention.len()
+        self.commits.pending_starts() + self.pending_commands.len()
     }
 
     /// The command that a run needs at the moment at which it can be sent. It may have waited for
@@ -224,7 +224,7 @@
             RunPhase::Planned | RunPhase::Running | RunPhase::Inherited => return None,
         }
         let pool = self.workers.get(&id)?.entry.service.clone();
-        if !self.is_capacity_view_fresh(&pool, now) || !self.knows_jobs(now) {
+        if !self.is_capacity_view_fresh(&pool, now) || !self.is_job_view_fresh(now) {
             return None;
         }
         let worker = self.workers.get_mut(&id)?;
@@ -286,7 +286,7 @@
                     live.is_in_doubt = true;
                     live.retry_ms = live.retry_ms.min(now + SWEEP_INTERVAL_MS);
                 }
-                self.actions.push(SchedulerAction::Wake(worker.clone()));
+                self.actions.push(SchedulerAction::RenewNow(worker.clone()));
             }
             CommandOutcome::Refused(refusal, clock_ms) => {
                 if let (Some(clock), Some(worker)) = (clock_ms, self.workers.get_mut(worker)) {
@@ -320,10 +320,10 @@
             live.answered_ms = Some(now);
             live.begun_ms = now;
             live.progress_ms = now;
-            self.actions.push(SchedulerAction::Wake(id.clone()));
+            self.actions.push(SchedulerAction::RenewNow(id.clone()));
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.refused_ms = None;
-                worker.see_run(&(*key, run), clock_ms);
+                worker.last_refusal_ms = None;
+                worker.observe_run(&(*key, run), clock_ms);
             }
         }
     }
@@ -339,7 +339,7 @@
         let reason = refusal_label(refusal);
         let open_tries = self.live_mut(key, run).map_or(0, |live| live.open_tries);
         let worker = id.clone();
-        self.note(SchedulerNote::StartRefused { task: *key, run, worker, reason, open_tries });
+        self.emit(SchedulerEvent::StartRefused { task: *key, run, worker, reason, open_tries });
         match refusal {
             CommandRefusal::Fenced => {
                 self.outranked(id);
@@ -358,7 +358,7 @@
                     live.enter(RunPhase::Running, now);
                     live.answered_ms = Some(now);
                 }
-                self.actions.push(SchedulerAction::Wake(id.clone()));
+                self.actions.push(SchedulerAction::RenewNow(id.clone()));
                 return;
             }
             // It has not begun, and its worker's clock is known anew.
@@ -373,7 +373,7 @@
             }
             CommandRefusal::Unhealthy | CommandRefusal::NoCapacity => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.refuse(refusal, now);
+                    worker.record_refusal(refusal, now);
                 }
             }
             CommandRefusal::Malformed => {}
@@ -398,7 +398,7 @@
         if let Some(task) = self.task_mut(key) {
             task.not_before_ms = now + pause;
         }
-        self.actions.push(SchedulerAction::Wake(id.clone()));
+        self.actions.push(SchedulerAction::RenewNow(id.clone()));
     }
 
     /// A stop was answered, or not. The run is over only when the worker lists its end.
@@ -412,7 +412,7 @@
     ) {
         match outcome {
             CommandOutcome::Done(_) => {
-                self.actions.push(SchedulerAction::Wake(worker.clone()));
+                self.actions.push(SchedulerAction::RenewNow(worker.clone()));
                 // Its end is listed within the stop time; a run that never was there is shown by
                 // the next report.
                 let stop_ms = self.bounds.stop_ms;
@@ -455,7 +455,7 @@
             self.abandoned.forget_worker(id);
             let Some(worker) = self.workers.remove(id) else { continue };
             let runs = worker.runs.len();
-            self.note(SchedulerNote::Worker {
+            self.emit(SchedulerEvent::Worker {
                 worker: id.clone(),
                 change: end.description(),
                 runs,
@@ -463,8 +463,8 @@
             gone.push(worker);
         }
         if end.is_loss() {
-            let is_leaving = |worker: &&WorkerRun| worker.draining_since_ms.is_some();
-            let lost: Vec<WorkerRun> = gone.iter().filter(|w| !is_leaving(w)).cloned().collect();
+            let is_leaving = |worker: &&WorkerState| worker.draining_since_ms.is_some();
+            let lost: Vec<WorkerState> = gone.iter().filter(|w| !is_leaving(w)).cloned().collect();
             self.blame_runs(&lost, now);
         }
         for worker in gone {
@@ -473,7 +473,7 @@
             }
         }
         self.needs_dispatch = true;
-        self.fleet.wants_list = true;
+        self.fleet.is_list_wanted = true;
     }
 
     /// A run is over with its worker, or taken for over.
@@ -487,7 +487,7 @@
         now: u64,
     ) {
         let at_work_ms = span.length_ms();
-        self.note(SchedulerNote::Lost { task: *key, run, worker: id.clone(), how, at_work_ms });
+        self.emit(SchedulerEvent::Lost { task: *key, run, worker: id.clone(), how, at_work_ms });
         self.remove_run(key, run, now);
     }
 
@@ -497,20 +497,20 @@
     /// Not while we are behind ourselves: the ends of the runs may be on their way to us, and a task that
     /// is done would start again.
     pub(crate) fn expire_silent_workers(&mut self, now: u64) {
-        if self.is_behind(now) {
+        if self.is_lagging(now) {
             return;
         }
         let expired: Vec<Arc<str>> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.silent_since_ms.is_some() || !worker.is_fenced)
+            .filter(|(_, worker)| worker.silent_since_ms.is_some() || !worker.has_accepted_token)
             .filter(|(_, worker)| !worker.runs.is_empty() && now >= worker.lease_bound_ms())
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
             let Some(worker) = self.workers.get(&id).cloned() else { continue };
             let (change, runs) = ("leases have run out", worker.runs.len());
-            self.note(SchedulerNote::Worker { worker: id.clone(), change, runs });
+            self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
             let counted = match worker.draining_since_ms {
                 None => self.blame_silent(&worker, now),
                 Some(_) => BTreeMap::new(),
@@ -527,7 +527,7 @@
 
     /// Buries workers that don't answer and whose VM no longer runs them.
     pub(crate) fn end_vanished_workers(&mut self, asked_ms: u64, now: u64) {
-        let Some(lives) = self.fleet.lives() else { return };
+        let Some(lives) = self.fleet.vm_states() else { return };
         let over: Vec<Arc<str>> = self
             .workers
             .iter()
@@ -580,8 +580,8 @@
     }
 }
 
-fn booked(spec: Option<&StepSpec>, task: &TaskRun) -> Option<BookedRun> {
-    spec.map(|spec| BookedRun {
+fn booked(spec: Option<&StepSpec>, task: &TaskRun) -> Option<PlacedRun> {
+    spec.map(|spec| PlacedRun {
         need: spec.reservation(),
         span: WorkSpan::default(),
         probation_ms: task.losses.probation_ms(),
--- a/src/scheduler/stragglers.rs
+++ b/src/scheduler/stragglers.rs
@@ -35,7 +35,7 @@
         }
         for (id, key, run, reason) in stalled {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.judge(false, now);
+                worker.record_outcome(false, now);
             }
             if let Some(task) = self.task_mut(&key) {
                 task.failed_on.push(id);
--- a/src/scheduler/tombstones.rs
+++ b/src/scheduler/tombstones.rs
@@ -9,7 +9,7 @@
 
 use crate::decide::access::CallerMark;
 use crate::jobs::model::JobId;
-use crate::scheduler::{RecordSource, Scheduler, SchedulerNote};
+use crate::scheduler::{RecordSource, Scheduler, SchedulerEvent};
 
 /// Time for which a job's last state is kept beyond what is promised, in milliseconds: the caller's wait begins when
 /// it learns of the end.
@@ -50,7 +50,7 @@
         now: u64,
     ) {
         self.tombstones.insert(id, mark, now);
-        self.commits.keep_tombstone(id, mark);
+        self.commits.cancel_tombstone_drop(id, mark);
         match self.jobs.get(&id) {
             Some(job) if mark.may_see(job.submission.organisation.as_ref()) => {
                 self.cancel(id, source, now);
@@ -68,7 +68,7 @@
             _ => "over",
         };
         let view_ms = self.view_age_ms(now);
-        self.note(SchedulerNote::Cancelled { job: id, source, found, view_ms });
+        self.emit(SchedulerEvent::Cancelled { job: id, source, found, view_ms });
     }
 
     /// Drops jobs from the log whose last state need not be told any more: a repeat of their submission that came
--- a/src/scheduler/waits.rs
+++ b/src/scheduler/waits.rs
@@ -10,8 +10,8 @@
 use crate::scheduler::dispatch::PlaceQuery;
 use crate::scheduler::job::{JobRun, LiveRun, RunPhase, TaskRun};
 use crate::scheduler::losses::PoolView;
-use crate::scheduler::worker::PlaceTerms;
-use crate::scheduler::{Scheduler, SchedulerNote};
+use crate::scheduler::worker::IsolationRule;
+use crate::scheduler::{Scheduler, SchedulerEvent};
 
 /// Time for which a task is away before it is told of, in milliseconds.
 const AWAY_MS: u64 = 3_000;
@@ -52,8 +52,8 @@
         self.waits.told = kept.chain(due.iter().map(|(key, _)| (*key, now))).collect();
         self.waits.looked_ms = now;
         for (key, away_ms) in due {
-            if let Some(note) = self.wait_note(&key, away_ms, away.len(), now) {
-                self.note(note);
+            if let Some(emit) = self.wait_note(&key, away_ms, away.len(), now) {
+                self.emit(emit);
             }
         }
     }
@@ -94,14 +94,14 @@
         away_ms: u64,
         all: usize,
         now: u64,
-    ) -> Option<SchedulerNote> {
+    ) -> Option<SchedulerEvent> {
         let job = self.jobs.get(&key.job)?;
         let (spec, task) = (job.spec(key)?, job.task(key)?);
         let (reason, since_ms) = match task.live.last() {
             Some(live) => (self.live_reason(key, live, now), live.phase_since_ms),
             None => (self.place_reason(key, job, spec, task, now), task.waiting_since_ms),
         };
-        Some(SchedulerNote::ServiceAway {
+        Some(SchedulerEvent::ServiceAway {
             task: *key,
             run: task.run,
             worker: task.live.last().map(|live| live.worker.clone()),
@@ -124,7 +124,7 @@
             RunPhase::Planned => "its record is not on the log",
             RunPhase::Starting if live.open_tries > 0 => "its start is under way",
             RunPhase::Starting if !self.is_confirmed(now) => "the leadership is not confirmed",
-            RunPhase::Starting if !self.knows_jobs(now) => "the job log is read too late",
+            RunPhase::Starting if !self.is_job_view_fresh(now) => "the job log is read too late",
             RunPhase::Starting if !self.is_capacity_view_fresh(&worker.entry.service, now) => {
                 "rooms of workers are read too late"
             }
@@ -170,7 +170,7 @@
         if self.losses.has_to_wait(key, task, &pool, now) {
             return "on trial until its pool is calm";
         }
-        if !self.knows_jobs(now) {
+        if !self.is_job_view_fresh(now) {
             return "the job log is read too late";
         }
         if !self.is_capacity_view_fresh(service, now) {
@@ -213,7 +213,7 @@
             avoided: &avoided,
             permitted,
             rack: None,
-            terms: terms.last().copied().unwrap_or(PlaceTerms::Usual),
+            terms: terms.last().copied().unwrap_or(IsolationRule::Normal),
         };
         let waited_ms = self.waited_ms(key, now);
         if self.find_worker(service, &query, waited_ms, now).is_some() {
@@ -223,14 +223,14 @@
         if self.find_worker(service, &query, waited_ms, now).is_some() {
             return "only workers that it avoids have room";
         }
-        let query = PlaceQuery { terms: PlaceTerms::Anywhere, ..query };
+        let query = PlaceQuery { terms: IsolationRule::Unrestricted, ..query };
         if self.probation_job(key).is_some()
             && self.find_worker(service, &query, waited_ms, now).is_some()
         {
             return "no worker with room takes a probation";
         }
         let mut pool = self.workers.values().filter(|worker| worker.entry.service == *service);
-        match pool.any(|worker| worker.takes_starts(now)) {
+        match pool.any(|worker| worker.may_take_starts(now)) {
             true => "no worker has room",
             false => "no worker of its pool takes starts",
         }
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -80,32 +80,32 @@
 
 /// On what terms a task starts on a worker, room aside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlaceTerms {
+pub enum IsolationRule {
     /// Where nothing is on probation alone.
-    Usual,
+    Normal,
     /// On probation, named by its job: nothing else may just be starting, and nothing starts there until it is over.
-    Alone(JobId),
+    Exclusive(JobId),
     /// Where no other suspect has been at work for less than so many milliseconds.
-    Apart(u64),
+    ApartFromSuspects(u64),
     /// Wherever there is room.
-    Anywhere,
+    Unrestricted,
 }
 
-impl PlaceTerms {
+impl IsolationRule {
     /// Whether the start is one of a suspect, or beside one.
     pub fn has_admission_check(self) -> bool {
-        self != PlaceTerms::Usual
+        self != IsolationRule::Normal
     }
 
     /// Whether other tasks may start beside a suspect during its probation.
     pub fn is_shared(self) -> bool {
-        matches!(self, PlaceTerms::Apart(_) | PlaceTerms::Anywhere)
+        matches!(self, IsolationRule::ApartFromSuspects(_) | IsolationRule::Unrestricted)
     }
 }
 
 /// A run on a worker and what it books there.
 #[derive(Clone, Copy, Debug)]
-pub struct BookedRun {
+pub struct PlacedRun {
     /// What it takes.
     pub need: ResourceVector,
     /// How long it has been seen at work.
@@ -122,7 +122,7 @@
     pub is_service: bool,
 }
 
-impl BookedRun {
+impl PlacedRun {
     /// Whether its worker has told of it for at least so many milliseconds.
     pub fn has_worked(&self, ms: u64) -> bool {
         self.span.length_ms().is_some_and(|length| length >= ms)
@@ -152,7 +152,7 @@
 
 /// A worker.
 #[derive(Clone, Debug)]
-pub struct WorkerRun {
+pub struct WorkerState {
     /// Its newest report of itself.
     pub entry: WorkerEntry,
     /// VM that it runs on, once the VM list has shown it.
@@ -162,35 +162,35 @@
     /// Whether its entry is listed; one that is not may still run on.
     pub is_listed: bool,
     /// Whether it has answered under our fencing token.
-    pub is_fenced: bool,
+    pub has_accepted_token: bool,
     /// When it first did, in milliseconds: commands of earlier leaders count only if they came before.
-    pub fenced_ms: u64,
+    pub token_accepted_ms: u64,
     /// When it stopped answering, in milliseconds.
     pub silent_since_ms: Option<u64>,
     /// Exits up to this number have been taken in.
     pub exits_seen: u64,
     /// Exits up to this number are on the log.
-    pub exits_logged: u64,
+    pub exits_committed: u64,
     /// Exits up to this number were acknowledged to the worker.
-    pub exits_told: u64,
+    pub exits_acknowledged: u64,
     /// First exit that must never be acknowledged.
     withheld_from: Option<u64>,
     /// When its last report was received, in milliseconds.
     pub report_ms: u64,
     /// When an answer of it last came after its time, in milliseconds.
-    pub late_ms: Option<u64>,
+    pub late_answer_ms: Option<u64>,
     /// Earliest time of the next renewal, in milliseconds.
-    pub renew_ms: u64,
+    pub next_renewal_ms: u64,
     /// Until when it gets no start since it said that it has no room, in milliseconds.
     full_until_ms: u64,
     /// When it last refused a start that others may take, in milliseconds; nothing once it has begun another.
-    pub refused_ms: Option<u64>,
+    pub last_refusal_ms: Option<u64>,
     /// Kept free for maintenance or a move.
     pub is_reserved: bool,
     /// Since when nothing is booked on it, in milliseconds.
     pub idle_since_ms: u64,
     /// What is booked.
-    pub runs: BTreeMap<(TaskKey, u32), BookedRun>,
+    pub runs: BTreeMap<(TaskKey, u32), PlacedRun>,
     /// Second runs of tasks that it lists and that were told of.
     pub second_runs: BTreeSet<(TaskKey, u32)>,
     used: ResourceVector,
@@ -206,27 +206,27 @@
     is_on_trial: bool,
 }
 
-impl WorkerRun {
+impl WorkerState {
     /// A worker of which nothing is known but its entry. All that runs there may last until
     /// `lease_bound_ms`.
-    pub fn new(entry: WorkerEntry, lease_bound_ms: u64, now: u64) -> WorkerRun {
-        WorkerRun {
+    pub fn new(entry: WorkerEntry, lease_bound_ms: u64, now: u64) -> WorkerState {
+        WorkerState {
             draining_since_ms: entry.is_draining.then_some(now),
             entry,
             vm: None,
             is_listed: true,
-            is_fenced: false,
-            fenced_ms: 0,
+            has_accepted_token: false,
+            token_accepted_ms: 0,
             silent_since_ms: None,
             exits_seen: 0,
-            exits_logged: 0,
-            exits_told: 0,
+            exits_committed: 0,
+            exits_acknowledged: 0,
             withheld_from: None,
             report_ms: 0,
-            late_ms: None,
-            renew_ms: 0,
+            late_answer_ms: None,
+            next_renewal_ms: 0,
             full_until_ms: 0,
-            refused_ms: None,
+            last_refusal_ms: None,
             is_reserved: false,
             idle_since_ms: now,
             runs: BTreeMap::new(),
@@ -244,7 +244,7 @@
     }
 
     /// A worker that only the log tells of.
-    pub fn unlisted(id: Arc<str>, lease_bound_ms: u64, now: u64) -> WorkerRun {
+    pub fn unlisted(id: Arc<str>, lease_bound_ms: u64, now: u64) -> WorkerState {
         let entry = WorkerEntry {
             id,
             service: "".into(),
@@ -255,9 +255,9 @@
             capacity: ResourceVector::default(),
             labels: Vec::new(),
         };
-        let worker = WorkerRun::new(entry, lease_bound_ms, now);
+        let worker = WorkerState::new(entry, lease_bound_ms, now);
         // Nothing tells that it left of its own accord.
-        WorkerRun {
+        WorkerState {
             is_listed: false,
             silent_since_ms: Some(now),
             draining_since_ms: None,
@@ -276,19 +276,19 @@
     }
 
     /// Whether stops may be sent to it: one that neither is listed nor answers is gone, or its leases run out.
-    pub fn takes_stops(&self) -> bool {
+    pub fn may_take_stops(&self) -> bool {
         self.has_address() && (self.is_listed || self.silent_since_ms.is_none())
     }
 
     /// Books a run.
-    pub fn book(&mut self, key: (TaskKey, u32), run: BookedRun) {
+    pub fn add_run(&mut self, key: (TaskKey, u32), run: PlacedRun) {
         if self.runs.insert(key, run).is_none() {
             self.used.add(&run.need);
         }
     }
 
     /// The worker has told at this time of its clock that a run is there.
-    pub fn see_run(&mut self, key: &(TaskKey, u32), clock_ms: u64) {
+    pub fn observe_run(&mut self, key: &(TaskKey, u32), clock_ms: u64) {
         if let Some(run) = self.runs.get_mut(key) {
             run.span.see(clock_ms);
         }
@@ -296,11 +296,11 @@
 
     /// Whether the start of a run is over as a danger to the worker.
     pub fn has_settled(&self, key: &(TaskKey, u32)) -> bool {
-        self.runs.get(key).is_some_and(BookedRun::has_settled)
+        self.runs.get(key).is_some_and(PlacedRun::has_settled)
     }
 
     /// Takes a run off the book; returns whether it was there.
-    pub fn release(&mut self, key: &(TaskKey, u32), now: u64) -> bool {
+    pub fn remove_run(&mut self, key: &(TaskKey, u32), now: u64) -> bool {
         let Some(run) = self.runs.remove(key) else { return false };
         self.used = self.used.saturating_sub(&run.need);
         if self.runs.is_empty() {
@@ -320,51 +320,52 @@
     }
 
     /// Whether what is booked fits what it holds; its room may have shrunk below what runs.
-    pub fn is_within_room(&self) -> bool {
+    pub fn is_within_capacity(&self) -> bool {
         self.entry.capacity.covers(&self.used)
     }
 
     /// Exits up to this number may be acknowledged: the log has them, and all of them may count.
-    pub fn exits_tellable(&self) -> u64 {
+    pub fn exits_acknowledgeable(&self) -> u64 {
         let bound = self.withheld_from.map_or(u64::MAX, |first| first.saturating_sub(1));
-        self.exits_logged.min(bound)
+        self.exits_committed.min(bound)
     }
 
     /// Keeps this exit and all after it from being acknowledged; returns whether none was before.
-    pub fn withhold(&mut self, number: u64) -> bool {
+    pub fn withhold_exits_from(&mut self, number: u64) -> bool {
         let is_new = self.withheld_from.is_none();
         self.withheld_from = Some(self.withheld_from.map_or(number, |first| first.min(number)));
         is_new
     }
 
     /// Whether it lists an exit that must never be acknowledged.
-    pub fn is_withheld(&self) -> bool {
+    pub fn has_withheld_exit(&self) -> bool {
         self.withheld_from.is_some()
     }
 
     /// Whether starts may be sent to it.
-    pub fn takes_starts(&self, now: u64) -> bool {
-        self.is_open(now) && !self.has_probation()
+    pub fn may_take_starts(&self, now: u64) -> bool {
+        self.is_available(now) && !self.has_probation()
     }
 
     /// Whether a task may start there on these terms.
-    pub fn takes(&self, terms: PlaceTerms, now: u64) -> bool {
+    pub fn may_take(&self, terms: IsolationRule, now: u64) -> bool {
         match terms {
-            PlaceTerms::Usual => self.takes_starts(now),
-            PlaceTerms::Alone(job) => self.takes_suspect(job, now),
-            PlaceTerms::Apart(proof_ms) => {
-                self.is_open(now) && !self.runs.values().any(|run| run.is_new_suspect(proof_ms))
+            IsolationRule::Normal => self.may_take_starts(now),
+            IsolationRule::Exclusive(job) => self.may_take_suspect(job, now),
+            IsolationRule::ApartFromSuspects(proof_ms) => {
+                self.is_available(now)
+                    && !self.runs.values().any(|run| run.is_new_suspect(proof_ms))
             }
-            PlaceTerms::Anywhere => self.is_open(now),
+            IsolationRule::Unrestricted => self.is_available(now),
         }
     }
 
     /// Whether a task of this job may start there on probation: then nothing else is just starting, and the
     /// loss of the worker would tell of that task alone.
-    fn takes_suspect(&self, job: JobId, now: u64) -> bool {
+    fn may_take_suspect(&self, job: JobId, now: u64) -> bool {
         let is_settled =
-            |((task, _), run): (&(TaskKey, u32), &BookedRun)| task.job == job || run.has_settled();
-        self.is_open(now) && self.runs.iter().all(is_settled)
+            |((task, _), run): (&(TaskKey, u32), &PlacedRun)| task.job == job || run.has_settled();
+        self.is_available(now) && self.runs.iter().all(is_settled)
     }
 
     /// Whether a start may go out that waits since `since_ms`: a suspect's only once the worker has answered
@@ -404,23 +405,23 @@
     }
 
     /// Whether it takes work at all.
-    pub fn is_open(&self, now: u64) -> bool {
-        self.is_fenced
+    pub fn is_available(&self, now: u64) -> bool {
+        self.has_accepted_token
             && self.is_listed
             && self.silent_since_ms.is_none()
             && !self.entry.is_draining
             && !self.is_reserved
-            && !self.is_withheld()
-            && self.is_within_room()
+            && !self.has_withheld_exit()
+            && self.is_within_capacity()
             && now >= self.suspended_until_ms
             && now >= self.full_until_ms
-            && (!self.is_on_trial || self.runs.values().all(BookedRun::is_settled_service))
+            && (!self.is_on_trial || self.runs.values().all(PlacedRun::is_settled_service))
     }
 
     /// Whether it has refused a start lately and begun none since. Tried again before the others, a few such workers
     /// would take turns in refusing a task that has room elsewhere.
     pub fn has_refused(&self, now: u64) -> bool {
-        self.refused_ms.is_some_and(|refused| now < refused + REFUSAL_AGE_MS)
+        self.last_refusal_ms.is_some_and(|refused| now < refused + REFUSAL_AGE_MS)
     }
 
     /// Whether it is left out because what it starts fails.
@@ -478,12 +479,12 @@
     }
 
     /// Takes in that it has answered a renewal that gave this lease.
-    pub fn hold_lease(&mut self, until: u64) {
+    pub fn confirm_lease(&mut self, until: u64) {
         self.held_until_ms = self.held_until_ms.max(until);
     }
 
     /// Whether a renewal has given it a lease that lasts for about so long.
-    pub fn holds_lease(&self, ms: u64, now: u64) -> bool {
+    pub fn has_lease_for(&self, ms: u64, now: u64) -> bool {
         self.clock.is_some_and(|clock| clock.lease_end(ms, now) <= self.held_until_ms)
     }
 
@@ -493,17 +494,17 @@
     }
 
     /// Takes in that it has refused a start that others may take.
-    pub fn refuse(&mut self, refusal: CommandRefusal, now: u64) {
-        self.refused_ms = Some(now);
+    pub fn record_refusal(&mut self, refusal: CommandRefusal, now: u64) {
+        self.last_refusal_ms = Some(now);
         match refusal {
             // The books are wrong about it, and each further try would be refused too.
             CommandRefusal::NoCapacity => self.full_until_ms = now + FULL_PAUSE_MS,
-            _ => self.judge(false, now),
+            _ => self.record_outcome(false, now),
         }
     }
 
     /// Takes in how a run ended, and leaves the worker out if it fails what others get done.
-    pub fn judge(&mut self, is_good: bool, now: u64) {
+    pub fn record_outcome(&mut self, is_good: bool, now: u64) {
         if self.verdicts.len() >= VERDICTS_KEPT {
             self.verdicts.pop_front();
         }
@@ -523,7 +524,7 @@
     /// Ends the time in which one run at a time is tried there: a service has come to work.
     pub fn end_trial(&mut self, now: u64) {
         if self.is_on_trial && now >= self.suspended_until_ms {
-            self.judge(true, now);
+            self.record_outcome(true, now);
         }
     }
 
--- a/standin/src/measure/decisions.rs
+++ b/standin/src/measure/decisions.rs
@@ -174,8 +174,8 @@
             config: Arc::new(config(unused)),
             predecessor: None,
             confirmed_ms: 100_000,
-            jobs_ms: 100_000,
-            rooms_ms: 100_000,
+            jobs_read_ms: 100_000,
+            workers_read_ms: 100_000,
             now: 100_000,
             wall_ms: 1_000_000,
         };
@@ -257,7 +257,7 @@
         let id = JobId::parse(&format!("{:016x}", self.submitted));
         let Some(id) = id else { return };
         let record = JobRecord::Submitted(id, Arc::new(submission));
-        self.call(|scheduler, now| scheduler.take_record(&record, now));
+        self.call(|scheduler, now| scheduler.apply_record(&record, now));
     }
 
     fn tick(&mut self) {
@@ -282,7 +282,7 @@
 
     fn carry_out(&mut self, action: SchedulerAction) {
         match action {
-            SchedulerAction::Send(target, task, run) => {
+            SchedulerAction::SendCommand(target, task, run) => {
                 let command = self.call(|scheduler, now| scheduler.command(&task, run, now));
                 if let Some(RunCommand::Start(_)) = command {
                     self.starts += 1;
@@ -294,15 +294,15 @@
                     });
                 }
             }
-            SchedulerAction::Watch(target) => {
+            SchedulerAction::StartRenewals(target) => {
                 self.due.insert(target.id);
             }
-            SchedulerAction::Wake(id) => {
+            SchedulerAction::RenewNow(id) => {
                 self.due.insert(id);
             }
             SchedulerAction::ListVms => {
                 let vms = self.vms.clone();
-                self.call(|scheduler, now| scheduler.take_vms(vms, now, now));
+                self.call(|scheduler, now| scheduler.update_vms(vms, now, now));
             }
             _ => {}
         }
--- a/tests/access.rs
+++ b/tests/access.rs
@@ -27,7 +27,7 @@
 use ibisweir::jobs::submitter;
 use ibisweir::transport::HttpTransport;
 use support::fakes::idle_node;
-use support::stage::{POOL, QUEUE, config, job, job_id, queue, step};
+use support::sim::{POOL, QUEUE, config, job, job_id, queue, step};
 use tokio::time::{advance, sleep};
 
 /// Time for which a reading counts, by the settings of the stage, and a bit.
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -238,7 +238,7 @@
             let _ = stream.write_all(text.as_bytes()).await;
         }
     });
-    let log = HttpPlatform::new(address, support::PATIENCE);
+    let log = HttpPlatform::new(address, support::WAIT_TIMEOUT);
     let from = [("intent".to_owned(), 0)].into();
     for body in answers {
         let read = log.read(&from, std::time::Duration::ZERO).await;
--- a/tests/behind_log.rs
+++ b/tests/behind_log.rs
@@ -13,7 +13,7 @@
 use ibisweir::jobs::record::{JobProgress, JobRecord};
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
 use support::fakes::{idle_node, lead};
-use support::stage::{QUEUE, bounds, config, job, job_id, step, submission};
+use support::sim::{QUEUE, bounds, config, job, job_id, step, submission};
 
 /// End of the log when the first page was made.
 const END: u64 = 300;
@@ -67,12 +67,12 @@
         config: Arc::new(config()),
         predecessor: None,
         confirmed_ms: 100_000,
-        jobs_ms: 100_000,
-        rooms_ms: 100_000,
+        jobs_read_ms: 100_000,
+        workers_read_ms: 100_000,
         now: 100_000,
         wall_ms: node.clock.wall_ms(),
     };
-    Scheduler::open(start, &node.book()).census().jobs
+    Scheduler::open(start, &node.book()).stats().jobs
 }
 
 fn dropped(id: u64) -> JobRecord {
@@ -186,13 +186,13 @@
     node.fold_own(&[dropped(1)], 302, 305);
     renew(&node, &[(0, submitted(1))]);
     assert_eq!((state(&node, 1), waiting(&node)), (None, 0));
-    assert_eq!(node.with_scheduler(|scheduler| scheduler.census().jobs), Some(0));
+    assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(0));
     read_on(&node, Vec::new(), 302);
     assert_eq!(node.book_end(), 305);
     // The same id later is another job.
     read_on(&node, vec![(305, submitted(1))], 306);
     assert_eq!(state(&node, 1), Some(JobState::Queued));
-    assert_eq!(node.with_scheduler(|scheduler| scheduler.census().jobs), Some(1));
+    assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(1));
 }
 
 /// Guards against a job that comes back with pages that are older than what another reader has read meanwhile.
@@ -213,7 +213,7 @@
     renew(&node, &[(302, submitted(1)), (299, submitted(2))]);
     read_on(&node, vec![(301, submitted(3)), (302, submitted(1))], 303);
     assert_eq!(waiting(&node), 3);
-    assert_eq!(node.with_scheduler(|scheduler| scheduler.census().jobs), Some(3));
+    assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(3));
     let known = |id: JobId| node.book().get(id).is_some();
     assert!([1, 2, 3].into_iter().all(|id| known(job_id(id))));
 }
--- a/tests/busy_pool.rs
+++ b/tests/busy_pool.rs
@@ -11,10 +11,10 @@
 
 use ibisweir::jobs::model::{ExitKind, JobId, JobState, StepSpec, TaskKey};
 use ibisweir::jobs::site::SiteConfig;
-use ibisweir::scheduler::SchedulerNote;
+use ibisweir::scheduler::SchedulerEvent;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{Stage, config, job, job_id, step, task, worker};
+use support::sim::{SchedulerSim, config, job, job_id, step, task, worker};
 
 /// Runs of each scene in CI; by hand two hundred.
 const RUNS: u64 = 10;
@@ -117,7 +117,7 @@
 
 /// A pool in a scene.
 struct BusyPool {
-    stage: Stage,
+    sim: SchedulerSim,
     random: StdRng,
     scene: BusyScene,
     /// Work of each job's tasks; nothing for those that crash their workers.
@@ -139,10 +139,10 @@
 impl BusyPool {
     fn open(scene: BusyScene, seed: u64) -> BusyPool {
         let entries = (0..scene.vms).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4)));
-        let mut stage = Stage::open(one_pool(), entries.collect());
-        stage.crash_after_ms = scene.crash_after_ms;
+        let mut sim = SchedulerSim::open(one_pool(), entries.collect());
+        sim.crash_after_ms = scene.crash_after_ms;
         BusyPool {
-            stage,
+            sim,
             random: StdRng::seed_from_u64(seed),
             scene,
             work_ms: BTreeMap::new(),
@@ -158,11 +158,11 @@
         let number = u64::try_from(self.work_ms.len()).expect("few jobs") + 1;
         let id = job_id(number);
         self.work_ms.insert(id, work_ms);
-        self.handed_in_ms.insert(id, self.stage.now);
+        self.handed_in_ms.insert(id, self.sim.now);
         if work_ms.is_none() {
-            self.stage.crashers.insert(task(id, 0, 0));
+            self.sim.crashing_tasks.insert(task(id, 0, 0));
         }
-        self.stage.submit(number, job(vec![steps]));
+        self.sim.submit(number, job(vec![steps]));
         id
     }
 
@@ -173,17 +173,17 @@
     }
 
     fn lose_one(&mut self) {
-        let ids: Vec<Arc<str>> = self.stage.workers.keys().cloned().collect();
+        let ids: Vec<Arc<str>> = self.sim.workers.keys().cloned().collect();
         let id = ids[self.random.random_range(0..ids.len())].clone();
-        self.stage.crash(&id);
+        self.sim.crash(&id);
     }
 
     /// Lets time pass, and ends what is through.
     fn go_on(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
-            self.stage.advance(STEP_MS);
-            let now = self.stage.now;
-            for worker in self.stage.workers.values_mut().filter(|worker| !worker.is_silent) {
+            self.sim.advance(STEP_MS);
+            let now = self.sim.now;
+            for worker in self.sim.workers.values_mut().filter(|worker| !worker.is_silent) {
                 let mut over: Vec<(TaskKey, u32)> = Vec::new();
                 for (key, percent) in &mut worker.running {
                     let begun = *self.begun_ms.entry(*key).or_insert(now);
@@ -205,20 +205,20 @@
             if self.ended.contains_key(id) {
                 continue;
             }
-            if let Some(state) = self.stage.state(*id).filter(|state| state.is_final()) {
-                self.ended.insert(*id, (state, self.stage.now - begun));
+            if let Some(state) = self.sim.state(*id).filter(|state| state.is_final()) {
+                self.ended.insert(*id, (state, self.sim.now - begun));
             }
         }
     }
 
     /// Runs of a task that ended with their workers, by whatever cause.
     fn workers_lost(&self, key: TaskKey) -> usize {
-        let lost = self.stage.notes.iter().filter_map(|note| match note {
-            SchedulerNote::Lost { task, run, .. } if *task == key => Some(*run),
+        let lost = self.sim.events.iter().filter_map(|note| match note {
+            SchedulerEvent::Lost { task, run, .. } if *task == key => Some(*run),
             _ => None,
         });
         let is_begun = |run: &u32| {
-            self.stage.started.iter().any(|(task, begun, _)| *task == key && begun == run)
+            self.sim.started.iter().any(|(task, begun, _)| *task == key && begun == run)
         };
         lost.filter(is_begun).collect::<BTreeSet<u32>>().len()
     }
@@ -235,10 +235,10 @@
         }
         // With nothing else lost, the arrivals go on until what crashes its workers is long convicted.
         let length_ms = if scene.loss_gap_ms > 0 { scene.unrest_ms } else { SETTLE_MS / 2 };
-        let begun = self.stage.now;
+        let begun = self.sim.now;
         let (mut arrival, mut loss, mut term) = (0, scene.lead_ms, scene.term_ms);
-        while self.stage.now < begun + length_ms {
-            let at = self.stage.now - begun;
+        while self.sim.now < begun + length_ms {
+            let at = self.sim.now - begun;
             if scene.is_busy && at >= arrival {
                 arrival += if scene.loss_gap_ms > 0 { scene.loss_gap_ms } else { ARRIVALS_MS };
                 self.submit_short();
@@ -250,7 +250,7 @@
             if scene.term_ms > 0 && at >= term {
                 term += scene.term_ms;
                 self.term += 1;
-                self.stage.take_over(self.term, one_pool());
+                self.sim.take_over(self.term, one_pool());
             }
             self.go_on(STEP_MS);
         }
--- a/tests/caller_service.rs
+++ b/tests/caller_service.rs
@@ -20,7 +20,7 @@
 use ibisweir::logging::silent;
 use ibisweir::transport::HttpTransport;
 use support::fakes::UnreachableLog;
-use support::stage::{POOL, QUEUE, job, job_id, queue, site_settings, step};
+use support::sim::{POOL, QUEUE, job, job_id, queue, site_settings, step};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
--- a/tests/cancellation_model.rs
+++ b/tests/cancellation_model.rs
@@ -14,7 +14,7 @@
 use ibisweir::jobs::model::{JobId, ResourceVector, StepSpec};
 use rand::Rng;
 use support::cancel_site::{CancelSite, HOP_MS};
-use support::stage::{job_id, step};
+use support::sim::{job_id, step};
 
 /// Runs in CI; by hand thousands.
 const RUNS: u64 = 120;
@@ -80,7 +80,7 @@
             81..85 => self.freeze(),
             85..87 => self.restart(),
             87..89 => self.site.log.compact(),
-            89..91 => self.begin_anew(),
+            89..91 => self.restart_worker(),
             91..93 => self.heal(),
             _ => {}
         }
@@ -208,9 +208,9 @@
         self.site.restart(entry);
     }
 
-    fn begin_anew(&mut self) {
+    fn restart_worker(&mut self) {
         let position = self.site.random.random_range(0..WORKERS);
-        self.site.begin_anew(position);
+        self.site.restart_worker(position);
     }
 
     /// Most of the trouble is over for a while.
--- a/tests/cancellation_orders.rs
+++ b/tests/cancellation_orders.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use support::cancel_site::{CancelSite, HOP_MS};
-use support::stage::{job_id, step};
+use support::sim::{job_id, step};
 
 /// Time in which the first entry comes to lead, in milliseconds.
 const SETTLE_MS: u64 = 1_000;
--- a/tests/catch_up.rs
+++ b/tests/catch_up.rs
@@ -14,7 +14,7 @@
     AppendCall, AppendOutcome, JobLog, LogBatch, LogTopic, NewestPage, ReadOutcome,
 };
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
-use support::stage::{job, job_id, site_settings, step, submission};
+use support::sim::{job, job_id, site_settings, step, submission};
 use tokio::time::sleep;
 
 /// Time that a read takes over the slow link.
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -23,7 +23,7 @@
 use ibisweir::jobs::site::VmEntry;
 use ibisweir::jobs::timeout_estimator::TimeoutEstimator;
 use support::fakes::{AnswerMode, RecordingWorkers};
-use support::stage::{config, site_settings};
+use support::sim::{config, site_settings};
 use tokio::time::{Instant, sleep};
 
 /// A leadership stream that stores the first append and loses its answer.
--- a/tests/decision_cost.rs
+++ b/tests/decision_cost.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ibisweir::jobs::site::{SiteConfig, WorkerEntry};
-use support::stage::{POOL, Stage, config, job, queue, step, worker};
+use support::sim::{POOL, SchedulerSim, config, job, queue, step, worker};
 
 /// Jobs that wait for room.
 const JOBS: u64 = 200;
@@ -20,27 +20,27 @@
 }
 
 /// A full pool with jobs in line.
-fn crowded(config: SiteConfig) -> Stage {
-    let mut stage = Stage::open(config, workers());
+fn crowded(config: SiteConfig) -> SchedulerSim {
+    let mut sim = SchedulerSim::open(config, workers());
     for id in 0..JOBS {
-        stage.submit(id + 1, job(vec![step(8)]));
+        sim.submit(id + 1, job(vec![step(8)]));
     }
-    stage
+    sim
 }
 
 /// Time of the fastest of some ticks that look at all that waits.
-fn fastest_tick(stage: &mut Stage) -> Duration {
+fn fastest_tick(sim: &mut SchedulerSim) -> Duration {
     let tick = |_| {
         // Longer than the time between two looks at how runs get on, after each of which tasks are placed.
-        stage.now += 110;
-        let wall_ms = stage.now;
-        stage.scheduler.confirm(stage.now);
-        stage.scheduler.jobs_read(stage.now);
-        stage.scheduler.workers_read(stage.now);
+        sim.now += 110;
+        let wall_ms = sim.now;
+        sim.scheduler.confirm(sim.now);
+        sim.scheduler.jobs_read(sim.now);
+        sim.scheduler.workers_read(sim.now);
         let begun = Instant::now();
-        stage.scheduler.tick(stage.now, wall_ms);
+        sim.scheduler.tick(sim.now, wall_ms);
         let spent = begun.elapsed();
-        stage.scheduler.take_actions();
+        sim.scheduler.take_actions();
         spent
     };
     (0..TICKS).map(tick).min().unwrap_or_default()
--- a/tests/delegate.rs
+++ b/tests/delegate.rs
@@ -21,9 +21,9 @@
 use ibisweir::scheduler::runs::RunCommand;
 use ibisweir::scheduler::{Scheduler, SchedulerAction};
 use ibisweir::transport::HttpTransport;
-use support::PATIENCE;
+use support::WAIT_TIMEOUT;
 use support::fakes::{AnswerMode, RecordingWorkers, idle_node, lead, peer_service};
-use support::stage::{WALL_OFFSET_MS, config, job, job_id, step, submission, task, worker};
+use support::sim::{WALL_OFFSET_MS, config, job, job_id, step, submission, task, worker};
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
@@ -151,7 +151,7 @@
 fn first_start(scheduler: &mut Scheduler, now: u64) -> StartOrder {
     scheduler.workers_listed(vec![worker("w0", "r0")], now);
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
-    scheduler.take_record(&record, now);
+    scheduler.apply_record(&record, now);
     let fence = scheduler.fence();
     let renewal = RenewCall { fence, acked_exits: 0, lease_until_ms: None, wait: Duration::ZERO };
     let report = WorkerReport { clock_ms: 30, ..WorkerReport::default() };
@@ -167,7 +167,7 @@
     scheduler.committed(&batch, now);
     scheduler.tick(now, WALL_OFFSET_MS + now);
     let sent = scheduler.take_actions().into_iter().find_map(|action| match action {
-        SchedulerAction::Send(target, task, run) => Some((target, task, run)),
+        SchedulerAction::SendCommand(target, task, run) => Some((target, task, run)),
         _ => None,
     });
     let (target, task, run) = sent.expect("its start is due");
@@ -222,7 +222,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, over).await.expect("it is told what became of the start");
+    timeout(WAIT_TIMEOUT, over).await.expect("it is told what became of the start");
 }
 
 /// The leader hears through the executor that a run has begun.
@@ -240,7 +240,7 @@
     let (leader, order) = leader();
     let workers = RecordingWorkers::new(AnswerMode::NoCapacity);
     hand_on(&leader, &order, Some(workers), || !is_due(&leader, &order)).await;
-    let runs = leader.with_scheduler(|scheduler| scheduler.census().runs);
+    let runs = leader.with_scheduler(|scheduler| scheduler.stats().runs);
     assert_eq!(runs, Some(0));
 }
 
@@ -258,7 +258,7 @@
         scheduler.tick(now, WALL_OFFSET_MS + now);
         scheduler.take_actions()
     });
-    let is_send = |action: &SchedulerAction| matches!(action, SchedulerAction::Send(..));
+    let is_send = |action: &SchedulerAction| matches!(action, SchedulerAction::SendCommand(..));
     assert!(actions.expect("it leads").iter().any(is_send));
 }
 
@@ -271,7 +271,7 @@
     let is_told = || leader.metrics.text().contains("no_answer");
     hand_on(&leader, &order, Some(workers), is_told).await;
     assert!(is_due(&leader, &order));
-    assert_eq!(leader.with_scheduler(|scheduler| scheduler.census().runs), Some(1));
+    assert_eq!(leader.with_scheduler(|scheduler| scheduler.stats().runs), Some(1));
 }
 
 /// Guards against a start that is taken for not sent, as the call that sent it has ended without an outcome.
@@ -312,7 +312,7 @@
             sleep(offers.step().await).await;
         }
     };
-    timeout(PATIENCE, is_served).await.expect("the leader stores for it");
+    timeout(WAIT_TIMEOUT, is_served).await.expect("the leader stores for it");
 }
 
 /// Guards against starts of the last data centre by name that wait for good, as executors have room for the others only.
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -14,7 +14,7 @@
 use ibisweir::jobs::record::KeyedRecord;
 use ibisweir::jobs::site::{OperatorRecord, SiteConfig};
 use support::fakes::idle_node;
-use support::stage::config;
+use support::sim::config;
 
 /// Keys in the log, ten to a page.
 const KEYS: usize = 35;
--- a/tests/job_path.rs
+++ b/tests/job_path.rs
@@ -15,7 +15,7 @@
 use ibisweir_standin::jobs::site::{ATTEMPTS, CALLER_HOST, JobPlatform, POOLS};
 use ibisweir_standin::soak::entry::EntryProcess;
 use serde_json::{Value, json};
-use support::PATIENCE;
+use support::WAIT_TIMEOUT;
 use support::process::{ToolRun, run_tool};
 use tokio::time::sleep;
 
@@ -63,7 +63,7 @@
         if let Some(line) = lines.iter().find(|line| line["msg"] == message && holds(line)) {
             return line.clone();
         }
-        assert!(begun.elapsed() < PATIENCE, "no such line: {message}, in {lines:?}");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "no such line: {message}, in {lines:?}");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -73,7 +73,7 @@
     headers.insert(HOST, HeaderValue::from_static(CALLER_HOST));
     let path = format!("/{}/{id}", POOLS[0]);
     let call = HttpCall { method, path, headers, body: Bytes::from(body.to_owned()) };
-    let answer = HttpTransport::open().exchange(entry.callers, call, PATIENCE).await;
+    let answer = HttpTransport::open().exchange(entry.callers, call, WAIT_TIMEOUT).await;
     answer.expect("the entry answers")
 }
 
@@ -84,7 +84,7 @@
 async fn until_ready(entry: &EntryProcess) {
     let begun = Instant::now();
     while !entry.is_ready_now() {
-        assert!(begun.elapsed() < PATIENCE, "the entry is never ready");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "the entry is never ready");
         sleep(Duration::from_millis(50)).await;
         entry.look_after().await;
     }
@@ -121,14 +121,14 @@
     ] });
     let begun = Instant::now();
     while call(entry, Method::POST, ID, &body.to_string()).await.status != 200 {
-        assert!(begun.elapsed() < PATIENCE, "the job is never accepted");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "the job is never accepted");
         sleep(Duration::from_millis(50)).await;
     }
     let state = |answer: &HttpAnswer| -> Value {
         serde_json::from_slice::<Value>(&answer.body).expect("a JSON answer")["state"].clone()
     };
     while state(&call(entry, Method::GET, ID, "").await) != "completed" {
-        assert!(begun.elapsed() < PATIENCE, "the job is never completed");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "the job is never completed");
         sleep(Duration::from_millis(20)).await;
     }
     platform.ledger().shown_completed(JobId::parse(ID).expect("an id"));
@@ -164,7 +164,7 @@
     }
     let path = format!("/{}/{id}", POOLS[1]);
     let call = HttpCall { method, path, headers, body: Bytes::from(body.to_owned()) };
-    let answer = HttpTransport::open().exchange(entry.callers, call, PATIENCE).await;
+    let answer = HttpTransport::open().exchange(entry.callers, call, WAIT_TIMEOUT).await;
     answer.expect("the entry answers")
 }
 
@@ -182,7 +182,7 @@
     let body = small_job("work=50");
     let begun = Instant::now();
     while keyed_call(entry, Method::POST, ID, &[&passing], &body).await.status != 200 {
-        assert!(begun.elapsed() < PATIENCE, "the job is never accepted");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "the job is never accepted");
         sleep(Duration::from_millis(20)).await;
     }
     let long = format!("Token {}", "k".repeat(65_000));
@@ -210,7 +210,7 @@
     }
     site.platform.revoke_key(&passing["Token ".len()..]);
     while keyed_call(entry, Method::GET, ID, &[&passing], "").await.status != 401 {
-        assert!(begun.elapsed() < PATIENCE, "the key is never refused");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "the key is never refused");
     }
     line_with(&site, "job state", |line| line["state"] == "Completed").await;
     assert_eq!(keyed_call(entry, Method::GET, ID, &[&east], "").await.status, 200);
@@ -257,7 +257,7 @@
         if answer.status == 503 {
             break answer;
         }
-        assert!(begun.elapsed() < PATIENCE, "it is never refused");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "it is never refused");
     };
     assert_eq!(code(&answer), json!(124));
     let line = line_with(&site, "not served", |line| line["code"] == 124).await;
--- a/tests/job_records.rs
+++ b/tests/job_records.rs
@@ -10,7 +10,7 @@
 use ibisweir::jobs::record::{
     JobProgress, JobRecord, KeyedRecord, LossCount, LostVm, TaskProgress, TaskRestarts,
 };
-use support::stage::{job_id, task};
+use support::sim::{job_id, task};
 
 fn progress(restarts: Vec<TaskRestarts>) -> JobProgress {
     let task = TaskProgress {
--- a/tests/job_table_model.rs
+++ b/tests/job_table_model.rs
@@ -25,7 +25,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use support::fakes::idle_node;
-use support::stage::{QUEUE, job, job_id, step, submission};
+use support::sim::{QUEUE, job, job_id, step, submission};
 
 const RUNS: u64 = 400;
 const STEPS: usize = 60;
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -15,8 +15,9 @@
 use ibisweir::jobs::site::SiteSettings;
 use ibisweir::scheduler::SchedulerAction;
 use support::fakes::{AnswerMode, RecordingWorkers, lead, node_with, succeed};
-use support::stage::{
-    Stage, WALL_OFFSET_MS, config, job, job_id, site_settings, step, submission, task, worker,
+use support::sim::{
+    SchedulerSim, WALL_OFFSET_MS, config, job, job_id, site_settings, step, submission, task,
+    worker,
 };
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -33,15 +34,15 @@
     fn open(settings: SiteSettings, mode: AnswerMode) -> LaneStage {
         let node = node_with(settings);
         lead(&node);
-        let stage = LaneStage::open_on(node, mode);
-        stage.list();
-        stage
+        let sim = LaneStage::open_on(node, mode);
+        sim.list();
+        sim
     }
 
     /// A leader that took over while `w0`, on which one task runs, is not listed.
     fn open_unlisted() -> LaneStage {
         let node = node_with(site_settings());
-        let mut before = Stage::open(config(), vec![worker("w0", "r0")]);
+        let mut before = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
         before.submit(1, job(vec![step(1)]));
         succeed(&node, &before.book);
         LaneStage::open_on(node, AnswerMode::Done)
@@ -82,7 +83,7 @@
         let now = self.node.now();
         let actions = self.node.with_scheduler(|scheduler| {
             scheduler.confirm(now);
-            scheduler.take_record(record, now);
+            scheduler.apply_record(record, now);
             scheduler.tick(now, WALL_OFFSET_MS + now);
             while let Some(batch) = scheduler.take_commit() {
                 scheduler.committed(&batch, now);
@@ -92,10 +93,12 @@
         });
         for action in actions.expect("it leads") {
             match action {
-                SchedulerAction::Send(target, task, run) => {
+                SchedulerAction::SendCommand(target, task, run) => {
                     self.lanes.send(&target, LaneCommand::Run(task, run), &mut self.tasks);
                 }
-                SchedulerAction::Watch(target) => self.lanes.watch(&target, &mut self.tasks),
+                SchedulerAction::StartRenewals(target) => {
+                    self.lanes.watch(&target, &mut self.tasks)
+                }
                 _ => {}
             }
         }
@@ -133,182 +136,182 @@
 /// run on for seconds after the cancellation was acknowledged.
 #[tokio::test(start_paused = true)]
 async fn stops_do_not_wait_behind_starts() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::Silent);
-    stage.submit(8);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::Silent);
+    sim.submit(8);
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(stage.workers.starts().len(), 1, "the others wait");
-    stage.take(&JobRecord::Cancelled(job_id(1)));
+    assert_eq!(sim.workers.starts().len(), 1, "the others wait");
+    sim.take(&JobRecord::Cancelled(job_id(1)));
     sleep(Duration::from_millis(100)).await;
-    assert!(!stage.workers.stops().is_empty(), "the first stop is on its way");
+    assert!(!sim.workers.stops().is_empty(), "the first stop is on its way");
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(stage.workers.starts().len(), 1, "none is started after the cancellation");
+    assert_eq!(sim.workers.starts().len(), 1, "none is started after the cancellation");
 }
 
 /// A leader on a narrow link, with another entry that can carry out starts: none is sent from here.
 #[tokio::test(start_paused = true)]
 async fn starts_go_through_others_on_a_narrow_link() {
-    let mut stage = LaneStage::open(narrow(), AnswerMode::Done);
-    stage.node.executors().heard(offer(), stage.node.now());
-    stage.submit(1);
+    let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
+    sim.node.executors().heard(offer(), sim.node.now());
+    sim.submit(1);
     sleep(Duration::from_millis(50)).await;
-    assert!(stage.workers.starts().is_empty());
+    assert!(sim.workers.starts().is_empty());
 }
 
 /// The same without another entry: the starts go from here, however narrow the link.
 #[tokio::test(start_paused = true)]
 async fn starts_go_from_here_where_there_is_nobody_else() {
-    let mut stage = LaneStage::open(narrow(), AnswerMode::Done);
-    stage.submit(4);
+    let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
+    sim.submit(4);
     sleep(Duration::from_millis(50)).await;
-    assert_eq!(stage.workers.starts().len(), 4);
+    assert_eq!(sim.workers.starts().len(), 4);
 }
 
 /// The same with another entry, on a wide link that has room.
 #[tokio::test(start_paused = true)]
 async fn starts_go_from_here_on_a_wide_link() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::Done);
-    stage.node.executors().heard(offer(), stage.node.now());
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::Done);
+    sim.node.executors().heard(offer(), sim.node.now());
     // The budget for starts of our own fills by and by.
     sleep(Duration::from_millis(300)).await;
-    stage.submit(4);
+    sim.submit(4);
     sleep(Duration::from_millis(50)).await;
-    assert_eq!(stage.workers.starts().len(), 4);
+    assert_eq!(sim.workers.starts().len(), 4);
 }
 
 /// The answers to renewals come a second after their time. They are read all the same, and show that we are behind.
 #[tokio::test(start_paused = true)]
 async fn answers_after_their_time_are_read() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::LateRenewals);
-    stage.submit(1);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::LateRenewals);
+    sim.submit(1);
     sleep(Duration::from_secs(4)).await;
-    assert!(stage.node.metrics.late_answers.get() >= 1);
+    assert!(sim.node.metrics.late_answers.get() >= 1);
 }
 
 /// Guards against tasks of a cancelled job that run on, as answers of their worker come late on a choked link.
 #[tokio::test(start_paused = true)]
 async fn stops_go_to_a_worker_that_answers_late() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::LateRenewals);
-    stage.submit(4);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::LateRenewals);
+    sim.submit(4);
     sleep(Duration::from_millis(1_500)).await;
-    stage.take(&JobRecord::Cancelled(job_id(1)));
+    sim.take(&JobRecord::Cancelled(job_id(1)));
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(stage.workers.stops().len(), 4);
+    assert_eq!(sim.workers.stops().len(), 4);
 }
 
 /// Guards against stops of one worker that each wait for the answer to the one before.
 #[tokio::test(start_paused = true)]
 async fn stops_of_one_worker_do_not_wait_for_each_other() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::Silent);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::Silent);
     let target = WorkerTarget { id: "w0".into(), address: SocketAddr::from(([127, 0, 0, 1], 9)) };
     for index in 0..4 {
         let call = RunCall { task: task(job_id(1), 0, index), run: 1, fence: 1_024 };
         // A repeat while the first is under way adds nothing.
         for _ in 0..2 {
-            stage.lanes.send(&target, LaneCommand::Stop(call), &mut stage.tasks);
+            sim.lanes.send(&target, LaneCommand::Stop(call), &mut sim.tasks);
         }
     }
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(stage.workers.stops().len(), 4);
+    assert_eq!(sim.workers.stops().len(), 4);
 }
 
 /// Guards against starts that go to no address, as a stop opened their lane before the worker was listed.
 #[tokio::test(start_paused = true)]
 async fn starts_go_to_the_address_that_a_worker_has_by_then() {
-    let mut stage = LaneStage::open_unlisted();
-    stage.take(&JobRecord::Cancelled(job_id(1)));
+    let mut sim = LaneStage::open_unlisted();
+    sim.take(&JobRecord::Cancelled(job_id(1)));
     sleep(Duration::from_millis(50)).await;
-    stage.list();
-    stage.submit_as(2, 4);
+    sim.list();
+    sim.submit_as(2, 4);
     sleep(Duration::from_millis(50)).await;
-    assert_eq!(stage.workers.starts().len(), 4);
+    assert_eq!(sim.workers.starts().len(), 4);
     let address = worker("w0", "r0").address;
-    assert_eq!(*stage.workers.addresses(), BTreeSet::from([address]));
+    assert_eq!(*sim.workers.addresses(), BTreeSet::from([address]));
 }
 
 /// Guards against stops that are sent again and again, as they were handed out again while they waited for others.
 #[tokio::test(start_paused = true)]
 async fn a_stop_that_waits_is_not_sent_twice() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::Silent);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::Silent);
     let target = WorkerTarget { id: "w0".into(), address: worker("w0", "r0").address };
     for _ in 0..4 {
         for index in 0..12 {
             let call = RunCall { task: task(job_id(1), 0, index), run: 1, fence: 1_024 };
-            stage.lanes.send(&target, LaneCommand::Stop(call), &mut stage.tasks);
+            sim.lanes.send(&target, LaneCommand::Stop(call), &mut sim.tasks);
         }
         sleep(Duration::from_millis(350)).await;
     }
     sleep(Duration::from_secs(2)).await;
-    assert_eq!(stage.workers.stops().len(), 12);
+    assert_eq!(sim.workers.stops().len(), 12);
 }
 
 /// Guards against a connection for each stop of a job, where its worker answers at once.
 #[tokio::test(start_paused = true)]
 async fn stops_that_are_answered_at_once_go_one_after_the_other() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::Prompt);
-    stage.submit(8);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::Prompt);
+    sim.submit(8);
     sleep(Duration::from_millis(100)).await;
-    stage.take(&JobRecord::Cancelled(job_id(1)));
+    sim.take(&JobRecord::Cancelled(job_id(1)));
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(stage.workers.stops().len(), 8);
-    assert_eq!(stage.workers.max_concurrent_stops(), 1);
+    assert_eq!(sim.workers.stops().len(), 8);
+    assert_eq!(sim.workers.max_concurrent_stops(), 1);
 }
 
 /// Guards against stops that wait for the answer to a throttle.
 #[tokio::test(start_paused = true)]
 async fn stops_do_not_wait_behind_throttles() {
-    let mut stage = LaneStage::open(site_settings(), AnswerMode::Silent);
+    let mut sim = LaneStage::open(site_settings(), AnswerMode::Silent);
     let target = WorkerTarget { id: "w0".into(), address: worker("w0", "r0").address };
     let call = |index| RunCall { task: task(job_id(1), 0, index), run: 1, fence: 1_024 };
     for index in 0..4 {
-        stage.lanes.send(&target, LaneCommand::Throttle(call(index), 50), &mut stage.tasks);
+        sim.lanes.send(&target, LaneCommand::Throttle(call(index), 50), &mut sim.tasks);
     }
-    stage.lanes.send(&target, LaneCommand::Stop(call(9)), &mut stage.tasks);
+    sim.lanes.send(&target, LaneCommand::Stop(call(9)), &mut sim.tasks);
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(stage.workers.stops().len(), 1);
+    assert_eq!(sim.workers.stops().len(), 1);
 }
 
 /// Guards against a leader whose narrow link is full, so that executors answer late, and that then sends all starts
 /// itself and fills it for good.
 #[tokio::test(start_paused = true)]
 async fn starts_do_not_fill_a_narrow_link_while_executors_are_passed_over() {
-    let mut stage = LaneStage::open(narrow(), AnswerMode::Done);
-    stage.node.executors().heard(offer(), stage.node.now());
+    let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
+    sim.node.executors().heard(offer(), sim.node.now());
     let address = offer().address;
-    stage.node.executors().end(address, 0, false, stage.node.now());
-    stage.submit(4);
+    sim.node.executors().end(address, 0, false, sim.node.now());
+    sim.submit(4);
     sleep(Duration::from_millis(1_000)).await;
-    assert!(stage.workers.starts().is_empty(), "they wait for the executor");
+    assert!(sim.workers.starts().is_empty(), "they wait for the executor");
     for _ in 0..140 {
-        let now = stage.node.now();
-        stage.node.executors().end(address, 0, false, now);
-        stage.node.with_scheduler(|scheduler| {
+        let now = sim.node.now();
+        sim.node.executors().end(address, 0, false, now);
+        sim.node.with_scheduler(|scheduler| {
             scheduler.confirm(now);
             scheduler.jobs_read(now);
         });
-        stage.list();
+        sim.list();
         sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(stage.workers.starts().len(), 4, "they go from here where it does not come back");
+    assert_eq!(sim.workers.starts().len(), 4, "they go from here where it does not come back");
 }
 
 /// Guards against several tries of one start that go out together, as it was handed out again while it waited for an
 /// executor: what comes of them comes in any order.
 #[tokio::test(start_paused = true)]
 async fn a_start_that_waits_is_handed_to_executors_once() {
-    let mut stage = LaneStage::open(narrow(), AnswerMode::Done);
-    stage.node.executors().heard(offer(), stage.node.now());
-    stage.node.executors().end(offer().address, 0, false, stage.node.now());
-    stage.submit(1);
+    let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
+    sim.node.executors().heard(offer(), sim.node.now());
+    sim.node.executors().end(offer().address, 0, false, sim.node.now());
+    sim.submit(1);
     let target = WorkerTarget { id: "w0".into(), address: worker("w0", "r0").address };
     for _ in 0..2 {
         sleep(Duration::from_millis(300)).await;
         let again = LaneCommand::Run(task(job_id(1), 0, 0), 1);
-        stage.lanes.send(&target, again, &mut stage.tasks);
+        sim.lanes.send(&target, again, &mut sim.tasks);
     }
-    let now = stage.node.now();
-    stage.node.executors().heard(ExecutorOffer { life: 8, ..offer() }, now);
+    let now = sim.node.now();
+    sim.node.executors().heard(ExecutorOffer { life: 8, ..offer() }, now);
     sleep(Duration::from_millis(300)).await;
-    let text = stage.node.metrics.text();
+    let text = sim.node.metrics.text();
     let tries = text.lines().find(|line| line.contains("not_delegated"));
     assert!(tries.is_some_and(|line| line.ends_with(" 1")), "{tries:?}");
 }
--- a/tests/lasting_tasks.rs
+++ b/tests/lasting_tasks.rs
@@ -11,11 +11,11 @@
 
 use ibisweir::jobs::model::{ExitKind, JobId, JobState, ResourceVector, StepSpec, TaskKey};
 use ibisweir::jobs::site::SiteConfig;
-use ibisweir::scheduler::SchedulerNote;
+use ibisweir::scheduler::SchedulerEvent;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom, SliceRandom};
-use support::stage::{Stage, config, job, job_id, service_step, step, task, worker};
+use support::sim::{SchedulerSim, config, job, job_id, service_step, step, task, worker};
 
 /// Time from its last run within which a task that lasts must run again, in milliseconds.
 const AWAY_MAX_MS: u64 = 6_000;
@@ -86,7 +86,7 @@
 }
 
 struct LastingPool {
-    stage: Stage,
+    sim: SchedulerSim,
     scene: LossScene,
     random: StdRng,
     lasting: Vec<TaskKey>,
@@ -113,13 +113,13 @@
 impl LastingPool {
     fn open(scene: LossScene, seed: u64) -> LastingPool {
         let entries = (0..scene.vms).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4)));
-        let mut stage = Stage::open(one_pool(), entries.collect());
-        stage.crash_after_ms = scene.crash_after_ms;
+        let mut sim = SchedulerSim::open(one_pool(), entries.collect());
+        sim.crash_after_ms = scene.crash_after_ms;
         LastingPool {
-            next_term_ms: stage.now + scene.term_ms,
-            next_short_ms: stage.now,
-            next_unrest_ms: stage.now + scene.unrest_ms,
-            stage,
+            next_term_ms: sim.now + scene.term_ms,
+            next_short_ms: sim.now,
+            next_unrest_ms: sim.now + scene.unrest_ms,
+            sim,
             scene,
             random: StdRng::seed_from_u64(seed),
             lasting: Vec::new(),
@@ -136,7 +136,7 @@
 
     fn submit(&mut self, spec: StepSpec) -> JobId {
         self.jobs += 1;
-        self.stage.submit(self.jobs, job(vec![spec]))
+        self.sim.submit(self.jobs, job(vec![spec]))
     }
 
     /// Hands in the tasks that last, in any order; the bad ones begin to crash their workers with the first start.
@@ -149,7 +149,7 @@
         for is_bad in are_bad {
             let key = task(job_id(self.jobs + 1), 0, 0);
             if is_bad {
-                self.stage.crashers.insert(key);
+                self.sim.crashing_tasks.insert(key);
             }
             self.submit(StepSpec { need, per_worker_max: 0, ..service_step(1) });
             self.lasting.push(key);
@@ -157,13 +157,13 @@
     }
 
     fn is_bad(&self, key: &TaskKey) -> bool {
-        self.stage.crashers.contains(key)
+        self.sim.crashing_tasks.contains(key)
     }
 
     /// Workers that host tasks that last, or the others.
     fn workers_by(&self, are_hosts: bool) -> Vec<Arc<str>> {
         let is_lasting = |(task, _): &(TaskKey, u32)| self.lasting.contains(task);
-        let workers = self.stage.workers.iter().filter(|(_, worker)| !worker.is_silent);
+        let workers = self.sim.workers.iter().filter(|(_, worker)| !worker.is_silent);
         workers
             .filter(|(_, worker)| worker.running.keys().any(is_lasting) == are_hosts)
             .map(|(id, _)| id.clone())
@@ -173,33 +173,33 @@
     /// Workers crash; their next lives are listed a while later.
     fn lose(&mut self, ids: Vec<Arc<str>>) {
         for id in ids {
-            let worker = self.stage.workers.get_mut(&id).expect("known");
+            let worker = self.sim.workers.get_mut(&id).expect("known");
             worker.is_silent = true;
             worker.running.clear();
-            self.dark.push((id, self.stage.now + NOTICE_MS));
+            self.dark.push((id, self.sim.now + NOTICE_MS));
         }
     }
 
     fn list_lost(&mut self) {
-        let now = self.stage.now;
+        let now = self.sim.now;
         let (over, dark): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.dark).into_iter().partition(|(_, at)| *at <= now);
         self.dark = dark;
         let over: Vec<&str> = over.iter().map(|(id, _)| &**id).collect();
         if !over.is_empty() {
-            self.stage.crash_all(&over);
+            self.sim.crash_all(&over);
         }
     }
 
     fn go_on(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
-            self.stage.advance(STEP_MS);
+            self.sim.advance(STEP_MS);
             self.list_lost();
-            let now = self.stage.now;
+            let now = self.sim.now;
             if self.scene.term_ms > 0 && now >= self.next_term_ms {
                 self.next_term_ms += self.scene.term_ms;
                 self.term += 1;
-                self.stage.take_over(self.term, one_pool());
+                self.sim.take_over(self.term, one_pool());
             }
             if self.scene.unrest_ms > 0 && now >= self.next_unrest_ms {
                 self.next_unrest_ms += self.scene.unrest_ms;
@@ -219,7 +219,7 @@
     /// Ends what is through, and takes note of who runs.
     fn look(&mut self, now: u64) {
         let mut running = BTreeSet::new();
-        for worker in self.stage.workers.values_mut().filter(|worker| !worker.is_silent) {
+        for worker in self.sim.workers.values_mut().filter(|worker| !worker.is_silent) {
             let mut over = Vec::new();
             for (key, percent) in &mut worker.running {
                 let begun = *self.begun_ms.entry(*key).or_insert(now);
@@ -232,12 +232,12 @@
             }
             over.into_iter().for_each(|(task, run)| worker.exit(task, run, ExitKind::Done));
         }
-        let stage = &self.stage;
+        let sim = &self.sim;
         self.short.retain(|id, begun| {
-            let is_over = stage.state(*id).is_some_and(|state| state.is_final());
+            let is_over = sim.state(*id).is_some_and(|state| state.is_final());
             self.short_age_ms += if is_over { now - *begun } else { 0 };
             // The entry stays until its runs are gone, so that they aren't taken for lasting ones.
-            !is_over || stage.alive(task(*id, 0, 0)) > 0
+            !is_over || sim.alive(task(*id, 0, 0)) > 0
         });
         for key in &self.lasting {
             let seen = self.seen_ms.entry(*key).or_insert(now);
@@ -250,12 +250,12 @@
     }
 
     fn workers_lost(&self, key: TaskKey) -> usize {
-        let lost = self.stage.notes.iter().filter_map(|note| match note {
-            SchedulerNote::Lost { task, run, .. } if *task == key => Some(*run),
+        let lost = self.sim.events.iter().filter_map(|note| match note {
+            SchedulerEvent::Lost { task, run, .. } if *task == key => Some(*run),
             _ => None,
         });
         let is_begun = |run: &u32| {
-            self.stage.started.iter().any(|(task, begun, _)| *task == key && begun == run)
+            self.sim.started.iter().any(|(task, begun, _)| *task == key && begun == run)
         };
         lost.filter(is_begun).collect::<BTreeSet<u32>>().len()
     }
@@ -272,7 +272,7 @@
         outcome.short = self.jobs - u64::try_from(self.lasting.len()).expect("few");
         outcome.short_age_ms = self.short_age_ms / outcome.short.max(1);
         for key in &self.lasting {
-            let is_given_up = self.stage.state(key.job) == Some(JobState::Failed);
+            let is_given_up = self.sim.state(key.job) == Some(JobState::Failed);
             if self.is_bad(key) {
                 outcome.bad += 1;
                 outcome.bad_given_up += usize::from(is_given_up);
@@ -282,7 +282,7 @@
             outcome.innocent += 1;
             outcome.wronged += usize::from(is_given_up);
             if !is_given_up {
-                let open_ms = self.stage.now - self.seen_ms[key];
+                let open_ms = self.sim.now - self.seen_ms[key];
                 let longest_ms = self.away_ms.get(key).copied().unwrap_or_default().max(open_ms);
                 outcome.away_ms = outcome.away_ms.max(longest_ms);
             }
@@ -438,9 +438,9 @@
     }
     pool.go_on(SETTLE_MS);
     assert!(pool.workers_by(false).is_empty(), "they are on all VMs");
-    pool.stage.take_over(2, one_pool());
-    pool.stage.advance(100);
+    pool.sim.take_over(2, one_pool());
+    pool.sim.advance(100);
     let id = pool.submit(step(1));
-    pool.stage.advance(300);
-    assert_eq!(pool.stage.starts(task(id, 0, 0)), 1);
+    pool.sim.advance(300);
+    assert_eq!(pool.sim.starts(task(id, 0, 0)), 1);
 }
