--- a/tests/loss_model.rs
+++ b/tests/loss_model.rs
@@ -12,10 +12,10 @@
 
 use ibisweir::jobs::model::{ExitKind, JobId, JobState, ResourceVector, StepSpec, TaskKey};
 use ibisweir::jobs::site::SiteConfig;
-use ibisweir::scheduler::SchedulerNote;
+use ibisweir::scheduler::SchedulerEvent;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{Stage, config, job, job_id, step, task, worker};
+use support::sim::{SchedulerSim, config, job, job_id, step, task, worker};
 
 /// Runs of each size in CI; by hand a hundred.
 const RUNS: u64 = 4;
@@ -68,7 +68,7 @@
 }
 
 struct Pool {
-    stage: Stage,
+    sim: SchedulerSim,
     random: StdRng,
     /// Draws when bad tasks crash their workers.
     crash_random: StdRng,
@@ -98,7 +98,7 @@
     fn open_under(load: PoolLoad, size: usize, seed: u64) -> Pool {
         let entries = (0..size).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect();
         Pool {
-            stage: Stage::open(one_pool(), entries),
+            sim: SchedulerSim::open(one_pool(), entries),
             random: StdRng::seed_from_u64(seed),
             crash_random: StdRng::seed_from_u64(seed),
             size,
@@ -127,12 +127,12 @@
             drawn if drawn < takeovers_from => self.crash_rack(),
             drawn if drawn < turns_from => self.take_over(),
             drawn if drawn < turns_from + load.log_turns => {
-                self.stage.log_is_up = !self.stage.log_is_up;
+                self.sim.is_log_up = !self.sim.is_log_up;
             }
             _ => {}
         }
         // One VM goes down and up by turns.
-        if self.size > 4 && self.stage.now.is_multiple_of(load.flap_ms) {
+        if self.size > 4 && self.sim.now.is_multiple_of(load.flap_ms) {
             self.crash_named("w0");
         }
         self.go_on();
@@ -145,60 +145,60 @@
         let count = self.random.random_range(1..5);
         let key = job_id(id);
         if self.random.random_range(0..self.load.jobs_a_bad_one) == 0 {
-            self.stage.crashers.insert(task(key, 0, 0));
+            self.sim.crashing_tasks.insert(task(key, 0, 0));
             self.bad.insert(key);
         }
         let length = self.random.random_range(3..20);
         // A task is at work until it crashes its worker.
         let is_late = self.bad.contains(&key) && self.load.crash_after_ms.1 > 10;
         self.lengths.insert(key, if is_late { 100 } else { length });
-        self.begun.insert(key, self.stage.now);
-        self.stage.submit(id, job(vec![StepSpec { need, ..step(count) }]));
+        self.begun.insert(key, self.sim.now);
+        self.sim.submit(id, job(vec![StepSpec { need, ..step(count) }]));
     }
 
     fn crash_some(&mut self, count: usize) {
         for _ in 0..count {
-            let ids: Vec<Arc<str>> = self.stage.workers.keys().cloned().collect();
+            let ids: Vec<Arc<str>> = self.sim.workers.keys().cloned().collect();
             let id = ids[self.random.random_range(0..ids.len())].clone();
             self.other_losses += 1;
-            self.stage.crash(&id);
+            self.sim.crash(&id);
         }
     }
 
     fn crash_named(&mut self, name: &str) {
         let is_life = |id: &&Arc<str>| id.split('-').next() == Some(name);
-        let id = self.stage.workers.keys().find(is_life).cloned();
+        let id = self.sim.workers.keys().find(is_life).cloned();
         if let Some(id) = id {
             self.other_losses += 1;
-            self.stage.crash(&id);
+            self.sim.crash(&id);
         }
     }
 
     fn crash_rack(&mut self) {
         let rack = self.random.random_range(0..self.size / 4);
         let names: Vec<String> = (rack * 4..rack * 4 + 4).map(|n| format!("w{n}")).collect();
-        let ids: Vec<Arc<str>> = self.stage.workers.keys().cloned().collect();
+        let ids: Vec<Arc<str>> = self.sim.workers.keys().cloned().collect();
         let is_there = |id: &&Arc<str>| names.iter().any(|name| id.split('-').next() == Some(name));
         let struck: Vec<&str> = ids.iter().filter(is_there).map(|id| &**id).collect();
         self.other_losses += struck.len();
-        self.stage.crash_all(&struck);
+        self.sim.crash_all(&struck);
     }
 
     fn take_over(&mut self) {
         self.term += 1;
-        self.stage.take_over(self.term, one_pool());
+        self.sim.take_over(self.term, one_pool());
     }
 
     /// Lets a tenth of a second pass, and what is through end.
     fn go_on(&mut self) {
         let (least_ms, most_ms) = self.load.crash_after_ms;
         if least_ms < most_ms {
-            self.stage.crash_after_ms = self.crash_random.random_range(least_ms..=most_ms);
+            self.sim.crash_after_ms = self.crash_random.random_range(least_ms..=most_ms);
         } else {
-            self.stage.crash_after_ms = least_ms;
+            self.sim.crash_after_ms = least_ms;
         }
-        self.stage.advance(STEP_MS);
-        for worker in self.stage.workers.values_mut().filter(|worker| !worker.is_silent) {
+        self.sim.advance(STEP_MS);
+        for worker in self.sim.workers.values_mut().filter(|worker| !worker.is_silent) {
             let mut over: Vec<(TaskKey, u32)> = Vec::new();
             for ((task, run), percent) in &mut worker.running {
                 *percent = (*percent + 100 / self.lengths[&task.job]).min(100);
@@ -216,12 +216,12 @@
             if self.ended.contains_key(id) {
                 continue;
             }
-            let Some(state) = self.stage.state(*id).filter(|state| state.is_final()) else {
+            let Some(state) = self.sim.state(*id).filter(|state| state.is_final()) else {
                 continue;
             };
             self.ended.insert(*id, state);
             if !self.bad.contains(id) {
-                self.age_ms += self.stage.now - begun;
+                self.age_ms += self.sim.now - begun;
             }
         }
     }
@@ -233,7 +233,7 @@
         };
         let wronged: Vec<JobId> = self.ended.iter().filter(is_wronged).map(|(id, _)| *id).collect();
         for id in &wronged {
-            let notes = self.stage.notes.iter().map(|note| format!("{note:?}"));
+            let notes = self.sim.events.iter().map(|note| format!("{note:?}"));
             notes.filter(|note| note.contains(&id.to_string())).for_each(|note| println!("{note}"));
         }
         wronged
@@ -242,14 +242,14 @@
     /// Runs of a task that ended with their workers, by whatever cause.
     fn workers_lost(&self, key: TaskKey) -> usize {
         if self.load.crash_after_ms == USUAL_LOAD.crash_after_ms {
-            return self.stage.starts(key);
+            return self.sim.starts(key);
         }
-        let lost = self.stage.notes.iter().filter_map(|note| match note {
-            SchedulerNote::Lost { task, run, .. } if *task == key => Some(*run),
+        let lost = self.sim.events.iter().filter_map(|note| match note {
+            SchedulerEvent::Lost { task, run, .. } if *task == key => Some(*run),
             _ => None,
         });
         let is_begun = |run: &u32| {
-            self.stage.started.iter().any(|(task, begun, _)| *task == key && begun == run)
+            self.sim.started.iter().any(|(task, begun, _)| *task == key && begun == run)
         };
         lost.filter(is_begun).collect::<BTreeSet<u32>>().len()
     }
@@ -258,7 +258,7 @@
         for _ in 0..STEPS {
             self.act();
         }
-        self.stage.log_is_up = true;
+        self.sim.is_log_up = true;
         for _ in 0..SETTLE_STEPS {
             self.go_on();
         }
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -19,7 +19,7 @@
 use ibisweir_standin::jobs::log::LogStandin;
 use ibisweir_standin::jobs::proxy::{FaultProxy, LinkFault};
 use support::fakes::{RecordingWorkers, idle_node};
-use support::stage::{config, job, job_id, step, submission};
+use support::sim::{config, job, job_id, step, submission};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -11,11 +11,12 @@
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::record::{JobProgress, JobRecord};
-use ibisweir::scheduler::worker::WorkerRun;
+use ibisweir::scheduler::worker::WorkerState;
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
 use support::fakes::{idle_node, lead};
-use support::stage::{
-    START_MS, Stage, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task, worker,
+use support::sim::{
+    START_MS, SchedulerSim, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task,
+    worker,
 };
 
 /// Time for which a thread is given the chance to go on.
@@ -46,25 +47,25 @@
 /// long after its job's cancellation was acknowledged.
 #[test]
 fn a_start_that_comes_late_to_the_next_life_of_its_worker_is_refused() {
-    let mut stage = Stage::open_born(config(), vec![worker("w1", "r1")]);
-    stage.advance(20_000);
-    stage.workers.get_mut("w1@0").expect("known").is_late = true;
-    let id = stage.submit(1, job(vec![step(1)]));
-    let next = stage.begin_anew("w1@0");
+    let mut sim = SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")]);
+    sim.advance(20_000);
+    sim.workers.get_mut("w1@0").expect("known").is_late = true;
+    let id = sim.submit(1, job(vec![step(1)]));
+    let next = sim.restart_worker("w1@0");
     // Its leader is cut off from it, and reads of the cancellation.
-    stage.mutes_renewals = true;
-    stage.workers.get_mut(&next).expect("known").started_ms = stage.now;
-    stage.append(&JobRecord::Cancelled(id));
-    stage.now += bounds().cancel_ms + 1_000;
-    stage.deliver_late(&next);
-    assert_eq!(stage.starts(task(id, 0, 0)), 0);
+    sim.are_renewals_muted = true;
+    sim.workers.get_mut(&next).expect("known").started_ms = sim.now;
+    sim.append(&JobRecord::Cancelled(id));
+    sim.now += bounds().cancel_ms + 1_000;
+    sim.deliver_late(&next);
+    assert_eq!(sim.starts(task(id, 0, 0)), 0);
 }
 
 /// Guards against a start that may begin late on a worker whose clock stood still for a while: what it tells since is
 /// taken for answers that were on their way for long.
 #[test]
 fn a_worker_whose_clock_stood_still_is_believed() {
-    let mut stood = WorkerRun::new(worker("w0", "r0"), 0, 0);
+    let mut stood = WorkerState::new(worker("w0", "r0"), 0, 0);
     stood.sample_clock(50_000, 100_000);
     for seconds in 0..20 {
         let ms = seconds * 1_000;
@@ -78,7 +79,7 @@
 /// Guards against leases that are taken for over too soon on such a worker: its clock comes to their end later.
 #[test]
 fn leases_last_longer_on_a_worker_whose_clock_stood_still() {
-    let mut stood = WorkerRun::new(worker("w0", "r0"), 0, 0);
+    let mut stood = WorkerState::new(worker("w0", "r0"), 0, 0);
     stood.sample_clock_since(50_000, 100_000, 100_000);
     let until = stood.lease_until(5_800, 100_000).expect("its clock is known");
     stood.sample_clock_since(50_100, 103_000, 103_010);
@@ -90,7 +91,7 @@
 /// one that arrives late counts from then.
 #[test]
 fn a_lease_after_an_idle_time_is_not_longer_than_any_may_be() {
-    let mut idle = WorkerRun::new(worker("w0", "r0"), 0, 0);
+    let mut idle = WorkerState::new(worker("w0", "r0"), 0, 0);
     idle.sample_clock_since(50_000, 100_000, 100_000);
     let shown_ms = 50_000 + 60_000 * 98 / 100;
     let until = idle.lease_until(5_800, 160_000).expect("its clock is known");
@@ -100,7 +101,7 @@
 /// Guards against an answer that was on its way for long and is taken for one of a clock that stood still.
 #[test]
 fn an_answer_that_comes_late_sets_no_clock_back() {
-    let mut late = WorkerRun::new(worker("w0", "r0"), 0, 0);
+    let mut late = WorkerState::new(worker("w0", "r0"), 0, 0);
     late.sample_clock_since(50_000, 100_000, 100_000);
     late.sample_clock_since(50_100, 100_050, 103_000);
     late.sample_clock_since(49_900, 99_800, 103_000);
@@ -111,34 +112,34 @@
 /// the leader before, and the job is dropped from the log at once.
 #[test]
 fn a_job_that_was_just_cancelled_outlives_a_leader_whose_wall_clock_is_ahead() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.append(&JobRecord::Cancelled(id));
-    stage.advance(1_000);
-    let wall_ms = WALL_OFFSET_MS + stage.now + bounds().status_ms + 60_000;
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.append(&JobRecord::Cancelled(id));
+    sim.advance(1_000);
+    let wall_ms = WALL_OFFSET_MS + sim.now + bounds().status_ms + 60_000;
     let start = SchedulerStart {
         term: 2,
         bounds: bounds(),
         config: Arc::new(config()),
         predecessor: None,
-        confirmed_ms: stage.now,
-        jobs_ms: stage.now,
-        rooms_ms: stage.now,
-        now: stage.now,
+        confirmed_ms: sim.now,
+        jobs_read_ms: sim.now,
+        workers_read_ms: sim.now,
+        now: sim.now,
         wall_ms,
     };
-    let mut successor = Scheduler::open(start, &stage.book);
-    successor.tick(stage.now, wall_ms);
+    let mut successor = Scheduler::open(start, &sim.book);
+    successor.tick(sim.now, wall_ms);
     while let Some(batch) = successor.take_commit() {
-        for record in &batch.folded {
-            stage.book.fold(record, stage.end);
-            stage.end += 1;
+        for record in &batch.decoded {
+            sim.book.fold(record, sim.end);
+            sim.end += 1;
         }
-        successor.committed(&batch, stage.now);
+        successor.committed(&batch, sim.now);
     }
     let repeat = JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)]))));
-    successor.take_record(&repeat, stage.now);
-    assert_eq!(successor.census().jobs, 0, "it runs");
+    successor.apply_record(&repeat, sim.now);
+    assert_eq!(successor.stats().jobs, 0, "it runs");
 }
 
 /// Records by which jobs and cancellations are dropped from the log.
@@ -148,7 +149,7 @@
         let is_drop = |record: &&JobRecord| {
             matches!(record, JobRecord::Dropped(_) | JobRecord::TombstoneDropped(..))
         };
-        dropped += batch.folded.iter().filter(is_drop).count();
+        dropped += batch.decoded.iter().filter(is_drop).count();
         scheduler.committed(&batch, now);
     }
     dropped
@@ -158,16 +159,16 @@
 /// that nobody knows.
 #[test]
 fn a_wall_clock_that_is_set_forward_drops_nothing() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.append(&JobRecord::Cancelled(id));
-    stage.append(&JobRecord::CancelledBy(job_id(2), CallerMark::of(None)));
-    stage.advance(1_000);
-    let (now, kept_ms) = (stage.now, bounds().status_ms + 31_000);
-    stage.scheduler.tick(now, WALL_OFFSET_MS + now + 10 * kept_ms);
-    assert_eq!(drops(&mut stage.scheduler, now), 0);
-    stage.scheduler.tick(now + kept_ms, WALL_OFFSET_MS + now);
-    assert_eq!(drops(&mut stage.scheduler, now + kept_ms), 2, "both are old by now");
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.append(&JobRecord::Cancelled(id));
+    sim.append(&JobRecord::CancelledBy(job_id(2), CallerMark::of(None)));
+    sim.advance(1_000);
+    let (now, kept_ms) = (sim.now, bounds().status_ms + 31_000);
+    sim.scheduler.tick(now, WALL_OFFSET_MS + now + 10 * kept_ms);
+    assert_eq!(drops(&mut sim.scheduler, now), 0);
+    sim.scheduler.tick(now + kept_ms, WALL_OFFSET_MS + now);
+    assert_eq!(drops(&mut sim.scheduler, now + kept_ms), 2, "both are old by now");
 }
 
 /// Guards against jobs that are kept for good as each new leader counts from its beginning: it counts from when its
@@ -213,8 +214,8 @@
         config: Arc::new(config()),
         predecessor: None,
         confirmed_ms: late,
-        jobs_ms: late,
-        rooms_ms: late,
+        jobs_read_ms: late,
+        workers_read_ms: late,
         now: late,
         wall_ms: WALL_OFFSET_MS + late,
     };
@@ -226,22 +227,22 @@
 /// the drop is appended behind it.
 #[test]
 fn a_cancellation_is_not_dropped_with_an_earlier_one() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = job_id(1);
-    stage.append(&JobRecord::Cancelled(id));
-    stage.log_is_up = false;
-    stage.advance(bounds().status_ms + 31_000);
-    stage.scheduler.relay(7, vec![JobRecord::Cancelled(id)], stage.now);
+    sim.append(&JobRecord::Cancelled(id));
+    sim.is_log_up = false;
+    sim.advance(bounds().status_ms + 31_000);
+    sim.scheduler.relay(7, vec![JobRecord::Cancelled(id)], sim.now);
     let mut book = JobTable::default();
     let mut end = START_MS;
     let mut is_acknowledged = false;
-    while let Some(batch) = stage.scheduler.take_commit() {
-        for record in &batch.folded {
+    while let Some(batch) = sim.scheduler.take_commit() {
+        for record in &batch.decoded {
             book.fold(record, end);
             end += 1;
         }
         is_acknowledged |= batch.relayed.contains(&7);
-        stage.scheduler.committed(&batch, stage.now);
+        sim.scheduler.committed(&batch, sim.now);
     }
     assert!(is_acknowledged);
     assert!(book.get(id).is_some_and(|job| job.is_cancelled));
@@ -251,17 +252,17 @@
 /// not renewed for a while.
 #[test]
 fn a_worker_with_nothing_but_stops_is_given_a_lease_before_its_next_start() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    let first = stage.submit(1, job(vec![step(1)]));
-    stage.advance(1_000);
-    stage.workers.get_mut("w0").expect("known").loses_stops = true;
-    stage.append(&JobRecord::Cancelled(first));
-    stage.advance(4_500);
-    assert_eq!(stage.alive(task(first, 0, 0)), 1, "its stops are lost");
-    stage.woken.clear();
-    stage.mutes_renewals = true;
-    stage.log_is_up = false;
-    stage.submit(2, job(vec![step(1)]));
-    let left_ms = stage.workers["w0"].lease_until_ms - stage.now;
-    assert!(stage.woken.contains(&"w0".into()), "{left_ms} ms are left");
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    let first = sim.submit(1, job(vec![step(1)]));
+    sim.advance(1_000);
+    sim.workers.get_mut("w0").expect("known").are_stops_lost = true;
+    sim.append(&JobRecord::Cancelled(first));
+    sim.advance(4_500);
+    assert_eq!(sim.alive(task(first, 0, 0)), 1, "its stops are lost");
+    sim.immediate_renewals.clear();
+    sim.are_renewals_muted = true;
+    sim.is_log_up = false;
+    sim.submit(2, job(vec![step(1)]));
+    let left_ms = sim.workers["w0"].lease_until_ms - sim.now;
+    assert!(sim.immediate_renewals.contains(&"w0".into()), "{left_ms} ms are left");
 }
--- a/tests/own_appends.rs
+++ b/tests/own_appends.rs
@@ -7,7 +7,7 @@
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::record::JobRecord;
 use support::fakes::{idle_node, lead};
-use support::stage::{job, job_id, step, submission};
+use support::sim::{job, job_id, step, submission};
 
 fn record(id: u64) -> JobRecord {
     JobRecord::Submitted(job_id(id), Arc::new(submission(job(vec![step(1)]))))
@@ -48,7 +48,7 @@
     assert!(!node.is_sole_writer());
     node.fold_read(vec![(1, record(2))], 2);
     assert_eq!(node.book_end(), 5);
-    assert_eq!(node.with_scheduler(|scheduler| scheduler.census().jobs), Some(1));
+    assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(1));
     assert!(node.book().get(job_id(2)).is_some());
 }
 
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -133,8 +133,8 @@
 #[test]
 fn records_come_back_as_they_were_written() {
     let id = JobId::parse("00000000000000ff").expect("an id");
-    let spec = support::stage::job(vec![support::stage::step(3)]);
-    let record = JobRecord::Submitted(id, support::stage::submission(spec).into());
+    let spec = support::sim::job(vec![support::sim::step(3)]);
+    let record = JobRecord::Submitted(id, support::sim::submission(spec).into());
     let keyed = record.encode().expect("a record");
     assert_eq!(JobRecord::decode(&keyed.key, &keyed.value), Some(record));
     let key = TaskKey { job: id, occurrence: 1, step: 2, index: 3 };
--- a/tests/rebirth_model.rs
+++ b/tests/rebirth_model.rs
@@ -11,7 +11,7 @@
 use ibisweir::jobs::model::{ExitKind, TaskKey};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{Stage, config, job, step, task, worker};
+use support::sim::{SchedulerSim, config, job, step, task, worker};
 
 /// Histories in CI.
 const RUNS: u64 = 250;
@@ -54,7 +54,7 @@
 }
 
 struct LifeHistory {
-    stage: Stage,
+    sim: SchedulerSim,
     random: StdRng,
     keys: Vec<TaskKey>,
     term: u64,
@@ -64,42 +64,43 @@
 impl LifeHistory {
     fn open(seed: u64) -> LifeHistory {
         let entry = |number| worker(&format!("w{number}"), &format!("r{number}"));
-        let mut stage = Stage::open_born(config(), (1..=WORKERS).map(entry).collect());
-        stage.hides_rebirths = true;
+        let mut sim =
+            SchedulerSim::open_with_incarnations(config(), (1..=WORKERS).map(entry).collect());
+        sim.are_restarts_hidden = true;
         let random = StdRng::seed_from_u64(seed);
-        LifeHistory { stage, random, keys: Vec::new(), term: 1, told: Vec::new() }
+        LifeHistory { sim, random, keys: Vec::new(), term: 1, told: Vec::new() }
     }
 
     fn draw_worker(&mut self) -> Arc<str> {
         let drawn = self.random.random_range(0..WORKERS);
-        self.stage.workers.keys().nth(drawn).expect("each worker has a life").clone()
+        self.sim.workers.keys().nth(drawn).expect("each worker has a life").clone()
     }
 
     fn play(&mut self, event: LifeEvent, id: &Arc<str>) {
-        let worker = self.stage.workers.get_mut(id).expect("known");
+        let worker = self.sim.workers.get_mut(id).expect("known");
         match event {
             LifeEvent::Submit if self.keys.len() < JOBS => {
                 let number = self.keys.len() as u64 + 1;
-                let job = self.stage.submit(number, job(vec![step(1)]));
+                let job = self.sim.submit(number, job(vec![step(1)]));
                 self.keys.push(task(job, 0, 0));
             }
             LifeEvent::TurnLate => worker.is_late = !worker.is_late,
             LifeEvent::TurnSilent => worker.is_silent = !worker.is_silent,
             LifeEvent::BeginAnew => {
                 worker.late.retain(|call| call.fence >= worker.fence);
-                self.stage.begin_anew(id);
+                self.sim.restart_worker(id);
             }
-            LifeEvent::DeliverLate => self.stage.deliver_late(id),
-            LifeEvent::MuteRenewals => self.stage.mutes_renewals = !self.stage.mutes_renewals,
+            LifeEvent::DeliverLate => self.sim.deliver_late(id),
+            LifeEvent::MuteRenewals => self.sim.are_renewals_muted = !self.sim.are_renewals_muted,
             LifeEvent::TakeOver => {
                 self.term += 1;
-                self.stage.take_over(self.term, config());
+                self.sim.take_over(self.term, config());
             }
-            LifeEvent::ShowEntries => self.stage.show_rebirths(),
-            LifeEvent::ListVms => self.stage.list_vms(),
+            LifeEvent::ShowEntries => self.sim.show_restarts(),
+            LifeEvent::ListVms => self.sim.list_vms(),
             LifeEvent::EndRun => {
                 if let Some((key, run)) = worker.running.keys().next().copied() {
-                    self.stage.end_run(key, run, id, ExitKind::Done);
+                    self.sim.end_run(key, run, id, ExitKind::Done);
                 }
             }
             LifeEvent::Submit | LifeEvent::Pause => {}
@@ -110,17 +111,17 @@
     fn step(&mut self) -> Option<TaskKey> {
         let id = self.draw_worker();
         let event = KINDS[self.random.random_range(0..KINDS.len())];
-        self.told.push(format!("{} {id} {event:?}", self.stage.now));
+        self.told.push(format!("{} {id} {event:?}", self.sim.now));
         self.play(event, &id);
         let pause = self.random.random_range(0..PAUSE_MS);
         self.doubled().or_else(|| {
-            self.stage.advance(pause);
+            self.sim.advance(pause);
             self.doubled()
         })
     }
 
     fn doubled(&self) -> Option<TaskKey> {
-        self.keys.iter().copied().find(|key| self.stage.alive(*key) > 1)
+        self.keys.iter().copied().find(|key| self.sim.alive(*key) > 1)
     }
 }
 
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -11,7 +11,7 @@
 use ibisweir::scheduler::Scheduler;
 use ibisweir::transport::HttpTransport;
 use support::fakes::{RecordingWorkers, idle_node, lead, peer_service};
-use support::stage::{job, job_id, step, submission};
+use support::sim::{job, job_id, step, submission};
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -26,7 +26,7 @@
 use ibisweir::jobs::site::SiteSettings;
 use ibisweir::transport::HttpTransport;
 use support::fakes::{RecordingWorkers, idle_node, node_with, peer_service};
-use support::stage::{job, job_id, site_settings, step, submission};
+use support::sim::{job, job_id, site_settings, step, submission};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
--- a/tests/runtime_model.rs
+++ b/tests/runtime_model.rs
@@ -6,7 +6,7 @@
 use ibisweir::scheduler::runtime::RuntimeModel;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{Stage, config, job, step, task, worker};
+use support::sim::{SchedulerSim, config, job, step, task, worker};
 
 fn drawn() -> StdRng {
     StdRng::seed_from_u64(7)
@@ -61,24 +61,24 @@
 #[test]
 fn a_job_that_is_in_time_goes_first_though_its_declaration_says_otherwise() {
     let declared = |count| StepSpec { estimate_ms: 100, ..step(count) };
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     for id in 1..=20 {
-        let seen = stage.submit(id, job(vec![declared(1)]));
-        stage.advance(1_000);
-        stage.end(task(seen, 0, 0), ExitKind::Done);
-        stage.advance(60);
+        let seen = sim.submit(id, job(vec![declared(1)]));
+        sim.advance(1_000);
+        sim.end(task(seen, 0, 0), ExitKind::Done);
+        sim.advance(60);
     }
     // All the room is taken for 1.5 s, in which two jobs come.
-    let blocker = stage.submit(30, job(vec![declared(8)]));
-    stage.advance(200);
-    let first = stage.submit(31, job(vec![declared(8)]));
-    stage.advance(1_300);
-    let second = stage.submit(32, job(vec![StepSpec { estimate_ms: 101, ..declared(8) }]));
+    let blocker = sim.submit(30, job(vec![declared(8)]));
+    sim.advance(200);
+    let first = sim.submit(31, job(vec![declared(8)]));
+    sim.advance(1_300);
+    let second = sim.submit(32, job(vec![StepSpec { estimate_ms: 101, ..declared(8) }]));
     for index in 0..8 {
-        stage.end(task(blocker, 0, index), ExitKind::Done);
+        sim.end(task(blocker, 0, index), ExitKind::Done);
     }
-    stage.advance(60);
+    sim.advance(60);
     // The first still has time by what such tasks take; by its declaration it is late.
-    assert_eq!(stage.alive(task(first, 0, 0)), 1);
-    assert_eq!(stage.alive(task(second, 0, 0)), 0);
+    assert_eq!(sim.alive(task(first, 0, 0)), 1);
+    assert_eq!(sim.alive(task(second, 0, 0)), 0);
 }
--- a/tests/scheduler_behind.rs
+++ b/tests/scheduler_behind.rs
@@ -8,9 +8,9 @@
 use ibisweir::jobs::model::{ExitKind, JobState, StepSpec};
 use ibisweir::jobs::ports::{RenewCall, WorkerReport};
 use ibisweir::jobs::site::{MaintenanceWave, WorkerEntry};
-use ibisweir::scheduler::fleet::list_rest_ms;
+use ibisweir::scheduler::fleet::vm_list_pause_ms;
 use ibisweir::scheduler::renewals::RenewPlan;
-use support::stage::{POOL, Stage, bounds, config, job, service_step, step, task, vm, worker};
+use support::sim::{POOL, SchedulerSim, bounds, config, job, service_step, step, task, vm, worker};
 
 /// Longer than every lease that a worker can have.
 const LEASES_MS: u64 = 6_400;
@@ -20,7 +20,7 @@
 }
 
 /// An answer of a worker that was given up long ago arrives.
-fn answer_late(stage: &mut Stage, id: &str) {
+fn answer_late(sim: &mut SchedulerSim, id: &str) {
     let call = RenewCall {
         fence: 1_024,
         acked_exits: 0,
@@ -28,13 +28,13 @@
         wait: std::time::Duration::ZERO,
     };
     let report = WorkerReport {
-        clock_ms: stage.now.saturating_sub(3_000),
-        exits: stage.workers[id].exits.clone(),
+        clock_ms: sim.now.saturating_sub(3_000),
+        exits: sim.workers[id].exits.clone(),
         ..WorkerReport::default()
     };
-    let sent_ms = stage.now.saturating_sub(3_200);
-    stage.scheduler.handle_late_renewal(&id.into(), &call, report, sent_ms, stage.now);
-    stage.workers.get_mut(id).expect("known").is_silent = true;
+    let sent_ms = sim.now.saturating_sub(3_200);
+    sim.scheduler.handle_late_renewal(&id.into(), &call, report, sent_ms, sim.now);
+    sim.workers.get_mut(id).expect("known").is_silent = true;
 }
 
 /// The leader's link is choked: its renewals get no answer in time, and their answers arrive seconds later.
@@ -43,14 +43,14 @@
 /// answers that it is behind itself, and starts nothing again until it has read on.
 #[test]
 fn a_leader_that_is_behind_takes_no_run_for_over() {
-    let mut stage = Stage::open(config(), workers(5));
-    let id = stage.submit(1, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
-    for worker in stage.workers.values_mut() {
+    let mut sim = SchedulerSim::open(config(), workers(5));
+    let id = sim.submit(1, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
+    for worker in sim.workers.values_mut() {
         worker.is_silent = true;
     }
     let first = task(id, 0, 0);
-    let place = stage.place(first);
-    stage.workers.get_mut(&place).expect("known").exit(first, 1, ExitKind::Done);
+    let place = sim.place(first);
+    sim.workers.get_mut(&place).expect("known").exit(first, 1, ExitKind::Done);
     let others: Vec<String> = ["w0", "w1", "w2", "w3", "w4"]
         .into_iter()
         .filter(|other| **other != *place)
@@ -58,38 +58,38 @@
         .collect();
     for _ in 0..LEASES_MS * 2 / 200 {
         for other in &others {
-            answer_late(&mut stage, other);
+            answer_late(&mut sim, other);
         }
-        stage.advance(200);
+        sim.advance(200);
     }
-    assert_eq!(stage.starts(first), 1, "its end is on its way");
-    answer_late(&mut stage, &place);
-    stage.advance(100);
-    assert_eq!(stage.starts(first), 1);
+    assert_eq!(sim.starts(first), 1, "its end is on its way");
+    answer_late(&mut sim, &place);
+    sim.advance(100);
+    assert_eq!(sim.starts(first), 1);
     // Nothing is late any more: what is silent now is silent itself, and its leases are over.
-    stage.workers.values_mut().for_each(|worker| worker.is_silent = false);
-    stage.advance(4_000);
+    sim.workers.values_mut().for_each(|worker| worker.is_silent = false);
+    sim.advance(4_000);
     for index in 1..4 {
-        stage.end(task(id, 0, index), ExitKind::Done);
+        sim.end(task(id, 0, index), ExitKind::Done);
     }
-    stage.advance(500);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
-    assert_eq!(stage.starts(first), 1);
+    sim.advance(500);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
+    assert_eq!(sim.starts(first), 1);
 }
 
 /// An answer arrives three seconds late and shows the worker's clock as it was then. Leases reckoned from it would
 /// end three seconds early, and all that runs there with them.
 #[test]
 fn a_late_answer_shortens_no_lease() {
-    let mut stage = Stage::open(config(), workers(1));
-    stage.submit(1, job(vec![step(1)]));
-    stage.advance(4_000);
-    let before = stage.leases.iter().copied().max().expect("it was renewed");
-    stage.leases.clear();
-    answer_late(&mut stage, "w0");
-    stage.workers.get_mut("w0").expect("known").is_silent = false;
-    stage.advance(1_000);
-    let first = stage.leases.first().copied().expect("it was renewed");
+    let mut sim = SchedulerSim::open(config(), workers(1));
+    sim.submit(1, job(vec![step(1)]));
+    sim.advance(4_000);
+    let before = sim.leases.iter().copied().max().expect("it was renewed");
+    sim.leases.clear();
+    answer_late(&mut sim, "w0");
+    sim.workers.get_mut("w0").expect("known").is_silent = false;
+    sim.advance(1_000);
+    let first = sim.leases.first().copied().expect("it was renewed");
     assert!(first >= before, "{first} after {before}");
 }
 
@@ -97,50 +97,50 @@
 /// excused by them: its tasks start elsewhere once its leases are over.
 #[test]
 fn a_slow_worker_or_two_do_not_hold_others_tasks_up() {
-    let mut stage = Stage::open(config(), workers(6));
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), workers(6));
+    let id = sim.submit(1, job(vec![step(1)]));
     let first = task(id, 0, 0);
-    let place = stage.place(first);
-    stage.workers.get_mut(&place).expect("known").is_silent = true;
+    let place = sim.place(first);
+    sim.workers.get_mut(&place).expect("known").is_silent = true;
     let slow: Vec<String> =
         (0..6).map(|n| format!("w{n}")).filter(|other| **other != *place).take(2).collect();
     for _ in 0..LEASES_MS / 200 {
         for other in &slow {
-            answer_late(&mut stage, other);
-            stage.workers.get_mut(other.as_str()).expect("known").is_silent = false;
+            answer_late(&mut sim, other);
+            sim.workers.get_mut(other.as_str()).expect("known").is_silent = false;
         }
-        stage.advance(200);
+        sim.advance(200);
     }
-    assert_eq!(stage.starts(first), 2);
+    assert_eq!(sim.starts(first), 2);
 }
 
 /// Starts wait in line before a choked link. Of a burst of a hundred only those are decided that go out
 /// soon: the others keep no room, and the most urgent can still go before them.
 #[test]
 fn no_more_is_placed_than_goes_out_soon() {
-    let mut stage = Stage::open(config(), workers(20));
-    stage.lane_is_slow = true;
-    stage.scheduler.set_pace(FlowPace { starts_max: Some(16), line_ms: 200 });
-    stage.submit(1, job(vec![step(100)]));
-    assert_eq!(stage.scheduler.census().runs, 16);
-    stage.empty_lanes();
-    stage.advance(40);
-    assert_eq!(stage.scheduler.census().runs, 32);
-    stage.scheduler.set_pace(FlowPace::default());
-    stage.advance(200);
-    assert_eq!(stage.scheduler.census().runs, 100);
+    let mut sim = SchedulerSim::open(config(), workers(20));
+    sim.is_lane_held = true;
+    sim.scheduler.set_pace(FlowPace { starts_max: Some(16), line_ms: 200 });
+    sim.submit(1, job(vec![step(100)]));
+    assert_eq!(sim.scheduler.stats().runs, 16);
+    sim.empty_lanes();
+    sim.advance(40);
+    assert_eq!(sim.scheduler.stats().runs, 32);
+    sim.scheduler.set_pace(FlowPace::default());
+    sim.advance(200);
+    assert_eq!(sim.scheduler.stats().runs, 100);
 }
 
 /// While answers wait in a line, a renewal waits longer at its worker, so that renewals without news leave
 /// the link to starts; and it is waited for longer than the line is.
 #[test]
 fn renewals_are_fewer_and_more_patient_on_a_choked_link() {
-    let mut stage = Stage::open(config(), workers(1));
-    stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), workers(1));
+    sim.submit(1, job(vec![step(1)]));
     let mut plan = |line_ms| {
-        stage.scheduler.set_pace(FlowPace { starts_max: None, line_ms });
-        stage.now += 1_000;
-        match stage.scheduler.renew_plan(&"w0".into(), stage.now) {
+        sim.scheduler.set_pace(FlowPace { starts_max: None, line_ms });
+        sim.now += 1_000;
+        match sim.scheduler.renew_plan(&"w0".into(), sim.now) {
             RenewPlan::Call(_, call, patience) => (call.wait, patience),
             other => panic!("{other:?}"),
         }
@@ -150,7 +150,7 @@
     assert!(choked_wait >= wait * 2, "{wait:?} {choked_wait:?}");
     assert!(choked_patience > patience);
     let (longest, longest_patience) = plan(60_000);
-    let lease = std::time::Duration::from_millis(support::stage::bounds().lease_max_ms);
+    let lease = std::time::Duration::from_millis(support::sim::bounds().lease_max_ms);
     assert!((longest + longest_patience) * 3 / 2 < lease, "{longest:?} {longest_patience:?}");
 }
 
@@ -159,17 +159,17 @@
 #[test]
 fn a_task_on_a_silent_worker_counts_as_away() {
     let pool = workers(6);
-    let mut stage = Stage::open(config(), pool.clone());
+    let mut sim = SchedulerSim::open(config(), pool.clone());
     let listed = pool.iter().map(|worker| vm(worker, POOL)).collect();
-    stage.scheduler.take_vms(listed, stage.now, stage.now);
-    let id = stage.submit(1, job(vec![service_step(2)]));
+    sim.scheduler.update_vms(listed, sim.now, sim.now);
+    let id = sim.submit(1, job(vec![service_step(2)]));
     for _ in 0..5 {
-        stage.progress(task(id, 0, 0), 100, 50);
-        stage.progress(task(id, 0, 1), 100, 50);
+        sim.progress(task(id, 0, 0), 100, 50);
+        sim.progress(task(id, 0, 1), 100, 50);
     }
-    let (silent, due) = (stage.place(task(id, 0, 0)), stage.place(task(id, 0, 1)));
-    stage.workers.get_mut(&silent).expect("known").is_silent = true;
-    stage.advance(1_000);
+    let (silent, due) = (sim.place(task(id, 0, 0)), sim.place(task(id, 0, 1)));
+    sim.workers.get_mut(&silent).expect("known").is_silent = true;
+    sim.advance(1_000);
     let due = pool.iter().find(|worker| worker.id == due).expect("known");
     let wave = MaintenanceWave {
         number: 1,
@@ -177,9 +177,9 @@
         within_ms: 20_000,
         parallel_max: 1,
     };
-    stage.scheduler.take_wave(wave, BTreeSet::new(), stage.now);
-    stage.advance(2_000);
-    assert_eq!(stage.starts(task(id, 0, 1)), 1, "it was stopped beside one that is away");
+    sim.scheduler.add_wave(wave, BTreeSet::new(), sim.now);
+    sim.advance(2_000);
+    assert_eq!(sim.starts(task(id, 0, 1)), 1, "it was stopped beside one that is away");
 }
 
 /// The VM list is long for a narrow link. Asked for as often as on a wide one, it would leave little room for
@@ -189,20 +189,20 @@
 fn a_list_is_asked_for_less_often_on_a_narrow_link() {
     let asked_in_3_s = |link| {
         let pool = workers(130);
-        let mut stage = Stage::open(config(), pool.clone());
+        let mut sim = SchedulerSim::open(config(), pool.clone());
         let listed: Vec<_> = pool.iter().map(|worker| vm(worker, POOL)).collect();
         let due = pool.iter().map(|worker| vm(worker, POOL).vm).collect();
         let wave = MaintenanceWave { number: 1, vms: due, within_ms: 60_000, parallel_max: 0 };
-        stage.submit(1, job(vec![service_step(130)]));
-        stage.scheduler.take_wave(wave, BTreeSet::new(), stage.now);
+        sim.submit(1, job(vec![service_step(130)]));
+        sim.scheduler.add_wave(wave, BTreeSet::new(), sim.now);
         let mut seen = 0;
-        let end = stage.now + 3_000;
-        while stage.now < end {
-            stage.advance(20);
-            if stage.lists_asked > seen {
-                seen = stage.lists_asked;
-                stage.scheduler.take_vms(listed.clone(), stage.now, stage.now);
-                stage.scheduler.rest_list(list_rest_ms(listed.len(), link), stage.now);
+        let end = sim.now + 3_000;
+        while sim.now < end {
+            sim.advance(20);
+            if sim.lists_asked > seen {
+                seen = sim.lists_asked;
+                sim.scheduler.update_vms(listed.clone(), sim.now, sim.now);
+                sim.scheduler.pause_vm_list(vm_list_pause_ms(listed.len(), link), sim.now);
             }
         }
         seen
@@ -216,27 +216,27 @@
 #[test]
 fn a_list_is_acted_on_for_as_long_as_it_rests() {
     for (vms, link) in [(130, 2), (10_000, 1), (1_000_000, 1_000)] {
-        let rest_ms = list_rest_ms(vms, link);
+        let rest_ms = vm_list_pause_ms(vms, link);
         let pool = workers(4);
-        let mut stage = Stage::open(config(), pool.clone());
+        let mut sim = SchedulerSim::open(config(), pool.clone());
         let listed: Vec<_> = pool.iter().map(|worker| vm(worker, POOL)).collect();
-        stage.scheduler.take_vms(listed.clone(), stage.now, stage.now);
-        stage.scheduler.rest_list(rest_ms, stage.now);
+        sim.scheduler.update_vms(listed.clone(), sim.now, sim.now);
+        sim.scheduler.pause_vm_list(rest_ms, sim.now);
         // Its answer may take two seconds.
-        stage.advance(rest_ms + 2_000);
+        sim.advance(rest_ms + 2_000);
         let due = listed.iter().map(|vm| vm.vm.clone()).collect();
         let wave = MaintenanceWave { number: 1, vms: due, within_ms: 60_000, parallel_max: 0 };
-        stage.scheduler.take_wave(wave, BTreeSet::new(), stage.now);
-        let commanded = stage.vm_commands.len();
-        stage.advance(500);
-        assert!(stage.vm_commands.len() > commanded, "{vms} VMs, {link} Mbit/s");
+        sim.scheduler.add_wave(wave, BTreeSet::new(), sim.now);
+        let commanded = sim.vm_commands.len();
+        sim.advance(500);
+        assert!(sim.vm_commands.len() > commanded, "{vms} VMs, {link} Mbit/s");
     }
 }
 
 /// Guards against lists that take more of the leader's time the more VMs there are.
 #[test]
 fn what_lists_take_does_not_grow_with_the_vms() {
-    let bytes_per_s = |vms: usize| vms as u64 * 185 * 1_000 / list_rest_ms(vms, 1_000);
+    let bytes_per_s = |vms: usize| vms as u64 * 185 * 1_000 / vm_list_pause_ms(vms, 1_000);
     for vms in [1_000, 3_000, 6_000, 12_000] {
         assert!(bytes_per_s(vms) <= 600_000, "{vms}: {}", bytes_per_s(vms));
     }
@@ -247,57 +247,57 @@
 /// nothing to do with it: they count, and only towards the bound that holds for every reason.
 #[test]
 fn a_leader_that_is_behind_blames_no_start() {
-    let mut stage = Stage::open(config(), workers(5));
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), workers(5));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for losses in 1..=3 {
-        let place = stage.place(key);
-        let others: Vec<_> = stage.workers.keys().filter(|id| **id != place).cloned().collect();
-        others.iter().for_each(|other| answer_late(&mut stage, other));
-        stage.crash(&place);
+        let place = sim.place(key);
+        let others: Vec<_> = sim.workers.keys().filter(|id| **id != place).cloned().collect();
+        others.iter().for_each(|other| answer_late(&mut sim, other));
+        sim.crash(&place);
         for other in others {
-            stage.workers.get_mut(&other).expect("known").is_silent = false;
+            sim.workers.get_mut(&other).expect("known").is_silent = false;
         }
-        while stage.place(key) == place {
-            stage.advance(20);
+        while sim.place(key) == place {
+            sim.advance(20);
         }
-        let progress = stage.book.get(id).and_then(|job| job.progress.clone()).expect("on the log");
+        let progress = sim.book.get(id).and_then(|job| job.progress.clone()).expect("on the log");
         let told = progress.restarts[0].losses;
         assert_eq!((told.total, told.at_start), (losses, 0));
     }
-    assert_eq!(stage.state(id), Some(JobState::Running));
+    assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
 /// Guards against starts of a job that another entry has cancelled seconds ago, while reads of the log are late.
 #[test]
 fn a_leader_whose_reads_of_the_log_are_late_starts_nothing() {
-    let mut stage = Stage::open(config(), workers(4));
-    let first = stage.submit(1, job(vec![step(1)]));
-    stage.advance(100);
-    stage.reads_jobs = false;
-    let second = stage.submit(2, job(vec![step(1)]));
-    stage.advance(bounds().cancel_ms);
-    let third = stage.submit(3, job(vec![step(1)]));
-    stage.advance(1_000);
-    let starts = |stage: &Stage, id| stage.starts(task(id, 0, 0));
-    assert_eq!([first, second, third].map(|id| starts(&stage, id)), [1, 1, 0]);
-    stage.reads_jobs = true;
-    stage.advance(100);
-    assert_eq!(starts(&stage, third), 1, "it starts as soon as the log was read");
+    let mut sim = SchedulerSim::open(config(), workers(4));
+    let first = sim.submit(1, job(vec![step(1)]));
+    sim.advance(100);
+    sim.is_reading_jobs = false;
+    let second = sim.submit(2, job(vec![step(1)]));
+    sim.advance(bounds().cancel_ms);
+    let third = sim.submit(3, job(vec![step(1)]));
+    sim.advance(1_000);
+    let starts = |sim: &SchedulerSim, id| sim.starts(task(id, 0, 0));
+    assert_eq!([first, second, third].map(|id| starts(&sim, id)), [1, 1, 0]);
+    sim.is_reading_jobs = true;
+    sim.advance(100);
+    assert_eq!(starts(&sim, third), 1, "it starts as soon as the log was read");
 }
 
 /// Guards against a start that is sent late, after the cancellation of its job could have been read.
 #[test]
 fn a_start_in_its_lane_waits_while_reads_of_the_log_are_late() {
-    let mut stage = Stage::open(config(), workers(4));
-    stage.lane_is_slow = true;
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.reads_jobs = false;
-    stage.advance(bounds().cancel_ms);
-    stage.empty_lanes();
-    assert_eq!(stage.starts(task(id, 0, 0)), 0);
-    stage.reads_jobs = true;
-    stage.lane_is_slow = false;
-    stage.advance(1_000);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
+    let mut sim = SchedulerSim::open(config(), workers(4));
+    sim.is_lane_held = true;
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.is_reading_jobs = false;
+    sim.advance(bounds().cancel_ms);
+    sim.empty_lanes();
+    assert_eq!(sim.starts(task(id, 0, 0)), 0);
+    sim.is_reading_jobs = true;
+    sim.is_lane_held = false;
+    sim.advance(1_000);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
--- a/tests/scheduler_caps.rs
+++ b/tests/scheduler_caps.rs
@@ -13,7 +13,9 @@
 use ibisweir::jobs::site::SiteConfig;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{Stage, config, job, job_id, service_step, step, submission, task, worker};
+use support::sim::{
+    SchedulerSim, config, job, job_id, service_step, step, submission, task, worker,
+};
 
 fn cpu(cpu: u64) -> ResourceVector {
     ResourceVector { cpu, memory: 0, accelerators: 0 }
@@ -35,81 +37,81 @@
     (0..count).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect()
 }
 
-fn hand_in(stage: &mut Stage, id: u64, organisation: Option<&str>, spec: JobSpec) -> JobId {
+fn hand_in(sim: &mut SchedulerSim, id: u64, organisation: Option<&str>, spec: JobSpec) -> JobId {
     let organisation = organisation.map(Arc::from);
     let submitted = JobSubmission { organisation, ..submission(spec) };
-    stage.append(&JobRecord::Submitted(job_id(id), Arc::new(submitted)));
-    stage.pump();
+    sim.append(&JobRecord::Submitted(job_id(id), Arc::new(submitted)));
+    sim.run_until_idle();
     job_id(id)
 }
 
 /// Tasks of a job that are at work.
-fn running(stage: &Stage, id: JobId) -> usize {
-    let on = |worker: &support::stage::StageWorker| {
+fn running(sim: &SchedulerSim, id: JobId) -> usize {
+    let on = |worker: &support::sim::SimWorker| {
         worker.running.keys().filter(|(task, _)| task.job == id).count()
     };
-    stage.workers.values().map(on).sum()
+    sim.workers.values().map(on).sum()
 }
 
 /// An organisation asks for more than it may have running. Its tasks wait, beside free workers; those of another one
 /// and of nobody, behind them in the line, are placed as if they were not there. As its tasks end the next begin.
 #[test]
 fn an_organisation_at_its_cap_holds_back_nobody_else() {
-    let mut stage = Stage::open(capped(1, &[("east", 4_000), ("west", 0)]), workers(4));
-    let east = hand_in(&mut stage, 1, Some("east"), job(vec![step(10)]));
-    let west = hand_in(&mut stage, 2, Some("west"), job(vec![step(6)]));
-    let open = hand_in(&mut stage, 3, None, job(vec![step(6)]));
-    assert_eq!((running(&stage, east), running(&stage, west), running(&stage, open)), (4, 6, 6));
+    let mut sim = SchedulerSim::open(capped(1, &[("east", 4_000), ("west", 0)]), workers(4));
+    let east = hand_in(&mut sim, 1, Some("east"), job(vec![step(10)]));
+    let west = hand_in(&mut sim, 2, Some("west"), job(vec![step(6)]));
+    let open = hand_in(&mut sim, 3, None, job(vec![step(6)]));
+    assert_eq!((running(&sim, east), running(&sim, west), running(&sim, open)), (4, 6, 6));
     for index in 0..4 {
-        stage.end(task(east, 0, index), ExitKind::Done);
+        sim.end(task(east, 0, index), ExitKind::Done);
     }
-    stage.advance(100);
-    assert_eq!(running(&stage, east), 4);
+    sim.advance(100);
+    assert_eq!(running(&sim, east), 4);
 }
 
 /// A single task needs more than the whole cap. It runs, alone: its caller could wait for ever otherwise.
 #[test]
 fn a_task_that_is_larger_than_the_cap_runs_alone() {
-    let mut stage = Stage::open(capped(1, &[("east", 2_000)]), workers(2));
+    let mut sim = SchedulerSim::open(capped(1, &[("east", 2_000)]), workers(2));
     let large = StepSpec { need: cpu(5_000), ..step(2) };
-    let id = hand_in(&mut stage, 1, Some("east"), job(vec![large]));
-    assert_eq!(running(&stage, id), 1);
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(100);
-    assert_eq!(running(&stage, id), 1);
+    let id = hand_in(&mut sim, 1, Some("east"), job(vec![large]));
+    assert_eq!(running(&sim, id), 1);
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(100);
+    assert_eq!(running(&sim, id), 1);
 }
 
 /// The cap falls far below what runs. Nothing is stopped, and nothing starts until what runs is below it.
 #[test]
 fn a_cap_that_falls_holds_starts_back_until_enough_has_ended() {
-    let mut stage = Stage::open(capped(1, &[("east", 8_000)]), workers(4));
-    let id = hand_in(&mut stage, 1, Some("east"), job(vec![step(20)]));
-    assert_eq!(running(&stage, id), 8);
-    stage.scheduler.set_config(Arc::new(capped(2, &[("east", 3_000)])));
-    stage.advance(500);
-    assert_eq!(running(&stage, id), 8);
+    let mut sim = SchedulerSim::open(capped(1, &[("east", 8_000)]), workers(4));
+    let id = hand_in(&mut sim, 1, Some("east"), job(vec![step(20)]));
+    assert_eq!(running(&sim, id), 8);
+    sim.scheduler.set_config(Arc::new(capped(2, &[("east", 3_000)])));
+    sim.advance(500);
+    assert_eq!(running(&sim, id), 8);
     for index in 0..5 {
-        stage.end(task(id, 0, index), ExitKind::Done);
-        assert_eq!(running(&stage, id), 7 - usize::try_from(index).expect("small"));
+        sim.end(task(id, 0, index), ExitKind::Done);
+        assert_eq!(running(&sim, id), 7 - usize::try_from(index).expect("small"));
     }
-    stage.end(task(id, 0, 5), ExitKind::Done);
-    stage.advance(100);
-    assert_eq!(running(&stage, id), 3);
+    sim.end(task(id, 0, 5), ExitKind::Done);
+    sim.advance(100);
+    assert_eq!(running(&sim, id), 3);
 }
 
 /// An organisation leaves the configuration while its jobs wait and run: they go on under its last cap.
 #[test]
 fn jobs_of_an_organisation_that_is_gone_go_on_under_its_last_cap() {
-    let mut stage = Stage::open(capped(1, &[("east", 2_000)]), workers(2));
-    let id = hand_in(&mut stage, 1, Some("east"), job(vec![step(4)]));
-    stage.scheduler.set_config(Arc::new(capped(2, &[])));
+    let mut sim = SchedulerSim::open(capped(1, &[("east", 2_000)]), workers(2));
+    let id = hand_in(&mut sim, 1, Some("east"), job(vec![step(4)]));
+    sim.scheduler.set_config(Arc::new(capped(2, &[])));
     for index in 0..4 {
-        stage.advance(100);
-        assert!(running(&stage, id) <= 2);
-        stage.end(task(id, 0, index), ExitKind::Done);
+        sim.advance(100);
+        assert!(running(&sim, id) <= 2);
+        sim.end(task(id, 0, index), ExitKind::Done);
     }
-    stage.advance(100);
-    assert!(stage.state(id).is_some_and(|state| state.is_final()), "{:?}", stage.started);
+    sim.advance(100);
+    assert!(sim.state(id).is_some_and(|state| state.is_final()), "{:?}", sim.started);
 }
 
 /// A new leader takes over with runs that it can't reach: on a worker that is silent, and starts in doubt on another.
@@ -117,38 +119,38 @@
 #[test]
 fn runs_in_doubt_count_over_a_change_of_leaders() {
     let config = capped(1, &[("east", 4_000)]);
-    let mut stage = Stage::open(config.clone(), workers(3));
-    let id = hand_in(&mut stage, 1, Some("east"), job(vec![step(2)]));
-    let place = stage.place(task(id, 0, 0));
-    stage.workers.get_mut(&place).expect("known").is_silent = true;
-    for worker in stage.workers.values_mut() {
+    let mut sim = SchedulerSim::open(config.clone(), workers(3));
+    let id = hand_in(&mut sim, 1, Some("east"), job(vec![step(2)]));
+    let place = sim.place(task(id, 0, 0));
+    sim.workers.get_mut(&place).expect("known").is_silent = true;
+    for worker in sim.workers.values_mut() {
         worker.is_late = true;
     }
-    let late = hand_in(&mut stage, 2, Some("east"), job(vec![step(2)]));
-    for worker in stage.workers.values_mut() {
+    let late = hand_in(&mut sim, 2, Some("east"), job(vec![step(2)]));
+    for worker in sim.workers.values_mut() {
         worker.is_late = false;
     }
-    stage.take_over(2, config);
-    let next = hand_in(&mut stage, 3, Some("east"), job(vec![step(4)]));
-    stage.advance(200);
-    let counted = running(&stage, id) + running(&stage, late) + running(&stage, next);
+    sim.take_over(2, config);
+    let next = hand_in(&mut sim, 3, Some("east"), job(vec![step(4)]));
+    sim.advance(200);
+    let counted = running(&sim, id) + running(&sim, late) + running(&sim, next);
     assert!(counted <= 4, "{counted} tasks run");
 }
 
 /// Copies of tasks, services, later steps and gangs all count.
 #[test]
 fn every_kind_of_run_counts() {
-    let mut stage = Stage::open(capped(1, &[("east", 6_000)]), workers(4));
-    let lasting = hand_in(&mut stage, 1, Some("east"), job(vec![service_step(3)]));
-    assert_eq!(running(&stage, lasting), 3);
+    let mut sim = SchedulerSim::open(capped(1, &[("east", 6_000)]), workers(4));
+    let lasting = hand_in(&mut sim, 1, Some("east"), job(vec![service_step(3)]));
+    assert_eq!(running(&sim, lasting), 3);
     let gang = StepSpec { is_gang: true, ..step(4) };
-    let gang = hand_in(&mut stage, 2, Some("east"), job(vec![gang]));
-    assert_eq!(running(&stage, gang), 0, "four are not left");
+    let gang = hand_in(&mut sim, 2, Some("east"), job(vec![gang]));
+    assert_eq!(running(&sim, gang), 0, "four are not left");
     let later = StepSpec { after: vec![0], ..step(5) };
-    let chain = hand_in(&mut stage, 3, Some("east"), job(vec![step(1), later]));
-    stage.end(task(chain, 0, 0), ExitKind::Done);
-    stage.advance(100);
-    assert_eq!(running(&stage, chain), 3);
+    let chain = hand_in(&mut sim, 3, Some("east"), job(vec![step(1), later]));
+    sim.end(task(chain, 0, 0), ExitKind::Done);
+    sim.advance(100);
+    assert_eq!(running(&sim, chain), 3);
 }
 
 /// An organisation sends far more than its share into a full pool, jobs of less work than everybody's. Those of the
@@ -159,23 +161,23 @@
     let access = config.access.take().expect("organisations");
     let shared = access.iter().map(|spec| OrganisationSpec { weight: 2.0, ..spec.clone() });
     config.access = Some(AccessBook::from(shared.collect::<Vec<_>>()));
-    let mut stage = Stage::open(config, workers(1));
-    let busy = hand_in(&mut stage, 1, None, job(vec![step(8)]));
+    let mut sim = SchedulerSim::open(config, workers(1));
+    let busy = hand_in(&mut sim, 1, None, job(vec![step(8)]));
     let flood: Vec<JobId> =
-        (10..18).map(|id| hand_in(&mut stage, id, Some("east"), job(vec![step(1)]))).collect();
+        (10..18).map(|id| hand_in(&mut sim, id, Some("east"), job(vec![step(1)]))).collect();
     let west: Vec<JobId> =
-        (20..22).map(|id| hand_in(&mut stage, id, Some("west"), job(vec![step(2)]))).collect();
+        (20..22).map(|id| hand_in(&mut sim, id, Some("west"), job(vec![step(2)]))).collect();
     for index in 0..6 {
-        stage.end(task(busy, 0, index), ExitKind::Done);
+        sim.end(task(busy, 0, index), ExitKind::Done);
     }
-    stage.advance(100);
-    let begun = |ids: &[JobId]| ids.iter().map(|id| running(&stage, *id)).sum::<usize>();
+    sim.advance(100);
+    let begun = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
     assert_eq!((begun(&flood[..2]), begun(&west), begun(&flood[2..])), (2, 4, 0));
     for index in 6..8 {
-        stage.end(task(busy, 0, index), ExitKind::Done);
+        sim.end(task(busy, 0, index), ExitKind::Done);
     }
-    stage.advance(100);
-    let begun = |ids: &[JobId]| ids.iter().map(|id| running(&stage, *id)).sum::<usize>();
+    sim.advance(100);
+    let begun = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
     assert_eq!(begun(&flood[2..]), 2);
 }
 
@@ -199,7 +201,7 @@
 struct Day {
     seed: u64,
     random: StdRng,
-    stage: Stage,
+    sim: SchedulerSim,
     term: u64,
     version: u64,
     caps: BTreeMap<&'static str, u64>,
@@ -216,15 +218,15 @@
         let caps: BTreeMap<_, _> =
             NAMES.iter().map(|name| (*name, random.random_range(2..12) * 1_000)).collect();
         let size = random.random_range(2..6);
-        let stage = Stage::open(config_of(1, &caps), workers(size));
+        let sim = SchedulerSim::open(config_of(1, &caps), workers(size));
         let (owners, waits) = (BTreeMap::new(), BTreeMap::new());
-        Day { seed, random, stage, term: 1, version: 1, caps, owners, waits, calm: 0 }
+        Day { seed, random, sim, term: 1, version: 1, caps, owners, waits, calm: 0 }
     }
 
     fn run(&mut self) {
         for _ in 0..300 {
             self.act();
-            self.stage.advance(100);
+            self.sim.advance(100);
             self.end_some();
             self.check();
         }
@@ -235,20 +237,20 @@
         if self.random.random_bool(0.5) {
             self.submit();
         }
-        let ids: Vec<Arc<str>> = self.stage.workers.keys().cloned().collect();
+        let ids: Vec<Arc<str>> = self.sim.workers.keys().cloned().collect();
         let id = ids[self.random.random_range(0..ids.len())].clone();
         match self.random.random_range(0..150) {
-            0 => self.stage.crash(&id),
-            1 => self.stage.workers.get_mut(&id).expect("known").is_silent = true,
-            2 => self.stage.workers.values_mut().for_each(|worker| worker.is_silent = false),
-            3 => self.stage.workers.get_mut(&id).expect("known").is_late = true,
-            4 => self.stage.workers.values_mut().for_each(|worker| worker.is_late = false),
-            5 => self.stage.deliver_late(&id),
+            0 => self.sim.crash(&id),
+            1 => self.sim.workers.get_mut(&id).expect("known").is_silent = true,
+            2 => self.sim.workers.values_mut().for_each(|worker| worker.is_silent = false),
+            3 => self.sim.workers.get_mut(&id).expect("known").is_late = true,
+            4 => self.sim.workers.values_mut().for_each(|worker| worker.is_late = false),
+            5 => self.sim.deliver_late(&id),
             6 => {
                 self.term += 1;
-                self.stage.take_over(self.term, config_of(self.version, &self.caps));
+                self.sim.take_over(self.term, config_of(self.version, &self.caps));
             }
-            7 => self.stage.log_is_up = !self.stage.log_is_up,
+            7 => self.sim.is_log_up = !self.sim.is_log_up,
             8 => self.change_cap(),
             _ => return,
         }
@@ -262,7 +264,7 @@
         let mut spec = StepSpec { need: cpu(need), ..step(count) };
         spec.allows_copies = self.random.random_bool(0.2);
         let number = u64::try_from(self.owners.len()).expect("few") + 1;
-        let id = hand_in(&mut self.stage, number, Some(owner), job(vec![spec]));
+        let id = hand_in(&mut self.sim, number, Some(owner), job(vec![spec]));
         self.owners.insert(id, (owner, need));
     }
 
@@ -273,11 +275,11 @@
         self.caps.insert(name, cap.max(self.used(name)));
         self.version += 1;
         let config = config_of(self.version, &self.caps);
-        self.stage.scheduler.set_config(Arc::new(config));
+        self.sim.scheduler.set_config(Arc::new(config));
     }
 
     fn end_some(&mut self) {
-        for worker in self.stage.workers.values_mut().filter(|worker| !worker.is_silent) {
+        for worker in self.sim.workers.values_mut().filter(|worker| !worker.is_silent) {
             let runs: Vec<(TaskKey, u32)> = worker.running.keys().copied().collect();
             for (key, run) in runs {
                 if self.random.random_bool(0.15) {
@@ -289,7 +291,7 @@
 
     /// What runs of an organisation, wherever it is.
     fn used(&self, name: &str) -> u64 {
-        let runs = self.stage.workers.values().flat_map(|worker| worker.running.keys());
+        let runs = self.sim.workers.values().flat_map(|worker| worker.running.keys());
         let needs = runs.filter_map(|(key, _)| self.owners.get(&key.job));
         needs.filter(|(owner, _)| *owner == name).map(|(_, need)| need).sum()
     }
@@ -308,21 +310,20 @@
 
     /// Nothing of a job runs while its organisation is under half of its cap and there is room for it twice.
     fn is_starved(&self, name: &str, used: u64, cap: u64) -> bool {
-        if self.calm < 40 || !self.stage.log_is_up || used * 2 >= cap {
+        if self.calm < 40 || !self.sim.is_log_up || used * 2 >= cap {
             return false;
         }
-        let free = |worker: &support::stage::StageWorker| {
+        let free = |worker: &support::sim::SimWorker| {
             let runs = worker.running.keys().filter_map(|(key, _)| self.owners.get(&key.job));
             8_000_u64.saturating_sub(runs.map(|(_, need)| need).sum::<u64>())
         };
-        let is_well =
-            self.stage.workers.values().all(|worker| !worker.is_silent && !worker.is_late);
-        let rooms: Vec<u64> = self.stage.workers.values().map(free).collect();
+        let is_well = self.sim.workers.values().all(|worker| !worker.is_silent && !worker.is_late);
+        let rooms: Vec<u64> = self.sim.workers.values().map(free).collect();
         is_well
             && self.owners.iter().any(|(id, (owner, need))| {
                 let places: u64 = rooms.iter().map(|room| room / need).sum();
-                let is_open = self.stage.state(*id).is_some_and(|state| !state.is_final());
-                *owner == name && is_open && running(&self.stage, *id) == 0 && places >= 2
+                let is_open = self.sim.state(*id).is_some_and(|state| !state.is_final());
+                *owner == name && is_open && running(&self.sim, *id) == 0 && places >= 2
             })
     }
 }
--- a/tests/scheduler_commit.rs
+++ b/tests/scheduler_commit.rs
@@ -6,37 +6,37 @@
 
 use ibisweir::jobs::model::{ExitKind, JobSpec, JobState};
 use ibisweir::jobs::record::JobRecord;
-use ibisweir::scheduler::SchedulerNote;
-use support::stage::{Stage, config, job, job_id, step, submission, task, worker};
+use ibisweir::scheduler::SchedulerEvent;
+use support::sim::{SchedulerSim, config, job, job_id, step, submission, task, worker};
 
 /// The log is slow: each append takes a third of a second, one after the other. A caller's job is
 /// accepted and placed with one append, not with one of its entry and one of the leader.
 #[test]
 fn a_relayed_job_is_stored_and_placed_by_one_append() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = job_id(1);
     let record = JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)]))));
-    stage.scheduler.relay(7, vec![record], stage.now);
-    stage.scheduler.tick(stage.now, 0);
-    let batch = stage.scheduler.take_commit().expect("an append");
+    sim.scheduler.relay(7, vec![record], sim.now);
+    sim.scheduler.tick(sim.now, 0);
+    let batch = sim.scheduler.take_commit().expect("an append");
     assert_eq!(batch.relayed, vec![7]);
-    assert!(matches!(batch.folded[0], JobRecord::Submitted(..)), "{:?}", batch.folded);
-    assert!(matches!(batch.folded[1], JobRecord::Progress(..)), "{:?}", batch.folded);
-    assert!(stage.scheduler.take_commit().is_none());
+    assert!(matches!(batch.decoded[0], JobRecord::Submitted(..)), "{:?}", batch.decoded);
+    assert!(matches!(batch.decoded[1], JobRecord::Progress(..)), "{:?}", batch.decoded);
+    assert!(sim.scheduler.take_commit().is_none());
 }
 
 /// The log is away. A job that was placed must not start: a successor would not know of the run, and
 /// start the task a second time. It starts as soon as the log has the placement.
 #[test]
 fn nothing_starts_before_the_log_has_it() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    stage.log_is_up = false;
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.advance(1_000);
-    assert_eq!(stage.starts(task(id, 0, 0)), 0);
-    stage.log_is_up = true;
-    stage.advance(100);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    sim.is_log_up = false;
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.advance(1_000);
+    assert_eq!(sim.starts(task(id, 0, 0)), 0);
+    sim.is_log_up = true;
+    sim.advance(100);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
 /// The log is away when a task is done. The end is not acknowledged to the worker, which goes on
@@ -44,49 +44,49 @@
 /// leader, and the task would run again.
 #[test]
 fn an_exit_is_acknowledged_only_once_the_log_has_it() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
     // Another job keeps the worker's leases in use, so that it is renewed all the while.
-    stage.submit(2, job(vec![step(1)]));
-    stage.log_is_up = false;
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(2_000);
-    assert_eq!(stage.workers["w1"].exits.len(), 1);
-    assert_ne!(stage.state(id), Some(JobState::Completed));
-    stage.log_is_up = true;
-    stage.advance(200);
-    assert!(stage.workers["w1"].exits.is_empty());
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    sim.submit(2, job(vec![step(1)]));
+    sim.is_log_up = false;
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(2_000);
+    assert_eq!(sim.workers["w1"].exits.len(), 1);
+    assert_ne!(sim.state(id), Some(JobState::Completed));
+    sim.is_log_up = true;
+    sim.advance(200);
+    assert!(sim.workers["w1"].exits.is_empty());
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// The leader dies after a task is done and before the log has it. The successor finds the end on
 /// the worker's list: the task does not run again.
 #[test]
 fn a_successor_finds_an_exit_that_the_log_does_not_have() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.log_is_up = false;
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.log_is_up = true;
-    stage.take_over(2, config());
-    stage.advance(500);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.is_log_up = false;
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.is_log_up = true;
+    sim.take_over(2, config());
+    sim.advance(500);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// The leader dies after the log has a placement and before the start was sent. The worker answers
 /// the successor and has no such run: the task starts at once.
 #[test]
 fn a_successor_starts_what_was_placed_and_never_started() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    stage.lane_is_slow = true;
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.advance(100);
-    stage.lane_is_slow = false;
-    assert_eq!(stage.starts(task(id, 0, 0)), 0);
-    stage.take_over(2, config());
-    stage.advance(200);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    sim.is_lane_held = true;
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.advance(100);
+    sim.is_lane_held = false;
+    assert_eq!(sim.starts(task(id, 0, 0)), 0);
+    sim.take_over(2, config());
+    sim.advance(200);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
 /// The leader dies, and the worker that ran a task does not answer its successor. It may run on
@@ -95,15 +95,15 @@
 #[test]
 fn a_successor_waits_out_the_leases_of_a_worker_that_it_cannot_reach() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
-    let mut stage = Stage::open(config(), pool);
-    let id = stage.submit(1, job(vec![step(1)]));
-    let first = stage.place(task(id, 0, 0));
-    stage.workers.get_mut(&first).expect("known").is_silent = true;
-    stage.take_over(2, config());
-    stage.advance(6_500);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1, "its lease may still run");
-    stage.advance(2_500);
-    assert_eq!(stage.starts(task(id, 0, 0)), 2);
+    let mut sim = SchedulerSim::open(config(), pool);
+    let id = sim.submit(1, job(vec![step(1)]));
+    let first = sim.place(task(id, 0, 0));
+    sim.workers.get_mut(&first).expect("known").is_silent = true;
+    sim.take_over(2, config());
+    sim.advance(6_500);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1, "its lease may still run");
+    sim.advance(2_500);
+    assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
 /// The same worker, but the VM list shows that its VM runs another life by now: nothing of the old
@@ -111,15 +111,15 @@
 #[test]
 fn a_worker_whose_vm_runs_another_life_is_not_waited_for() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
-    let mut stage = Stage::open(config(), pool.clone());
-    let id = stage.submit(1, job(vec![step(1)]));
-    let first = stage.place(task(id, 0, 0));
-    stage.workers.get_mut(&first).expect("known").is_silent = true;
-    stage.take_over(2, config());
-    stage.advance(1_000);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    let id = sim.submit(1, job(vec![step(1)]));
+    let first = sim.place(task(id, 0, 0));
+    sim.workers.get_mut(&first).expect("known").is_silent = true;
+    sim.take_over(2, config());
+    sim.advance(1_000);
     let vms = pool
         .iter()
-        .map(|entry| support::stage::vm(entry, support::stage::POOL))
+        .map(|entry| support::sim::vm(entry, support::sim::POOL))
         .map(|mut vm| {
             if vm.worker == first {
                 vm.worker = "another-life".into();
@@ -127,24 +127,24 @@
             vm
         })
         .collect();
-    stage.scheduler.take_vms(vms, stage.now, stage.now);
-    stage.advance(500);
-    assert_eq!(stage.starts(task(id, 0, 0)), 2);
+    sim.scheduler.update_vms(vms, sim.now, sim.now);
+    sim.advance(500);
+    assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
 /// The leader loses the log but not its workers. Its successor takes their runs for over a while
 /// after the old leader was last confirmed, so the old one must stop prolonging leases in time.
 #[test]
 fn leases_are_not_prolonged_once_the_leadership_is_unconfirmed() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    stage.submit(1, job(vec![step(1)]));
-    stage.advance(500);
-    let confirmed = stage.leases.len();
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    sim.submit(1, job(vec![step(1)]));
+    sim.advance(500);
+    let confirmed = sim.leases.len();
     assert!(confirmed > 0);
-    stage.advance_unconfirmed(1_700);
-    let last = stage.leases.len();
-    stage.advance_unconfirmed(3_000);
-    assert_eq!(stage.leases.len(), last);
+    sim.advance_unconfirmed(1_700);
+    let last = sim.leases.len();
+    sim.advance_unconfirmed(3_000);
+    assert_eq!(sim.leases.len(), last);
 }
 
 /// A caller cancels, and the leader dies before the log has what it made of it. The successor knows
@@ -152,14 +152,14 @@
 /// job would be unknown to its caller, and a repeat of its submission would run it again.
 #[test]
 fn a_job_cancelled_around_a_takeover_is_kept() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.log_is_up = false;
-    stage.append(&JobRecord::Cancelled(id));
-    stage.log_is_up = true;
-    stage.take_over(2, config());
-    stage.advance(5_000);
-    assert_eq!(stage.state(id), Some(JobState::Cancelled));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.is_log_up = false;
+    sim.append(&JobRecord::Cancelled(id));
+    sim.is_log_up = true;
+    sim.take_over(2, config());
+    sim.advance(5_000);
+    assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
 
 /// Many large jobs come at once. One append of them all would be over the log's limit, refused again
@@ -167,7 +167,7 @@
 /// before its own job is on the log.
 #[test]
 fn a_flood_of_large_submissions_is_appended_in_parts() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let payload = "x".repeat(4_000);
     for token in 0..12 {
         let records = (0..30)
@@ -176,16 +176,16 @@
                 JobRecord::Submitted(job_id(token * 100 + n), Arc::new(submission(spec)))
             })
             .collect();
-        stage.scheduler.relay(token, records, stage.now);
+        sim.scheduler.relay(token, records, sim.now);
     }
-    stage.scheduler.tick(stage.now, 0);
+    sim.scheduler.tick(sim.now, 0);
     let mut relayed = 0;
     let mut submitted = std::collections::BTreeSet::new();
-    while let Some(batch) = stage.scheduler.take_commit() {
+    while let Some(batch) = sim.scheduler.take_commit() {
         let bytes: usize = batch.records.iter().map(|record| record.value.len()).sum();
         assert!(bytes < 1 << 20, "{bytes} bytes in one append");
         relayed += batch.relayed.len();
-        for record in &batch.folded {
+        for record in &batch.decoded {
             match record {
                 JobRecord::Submitted(id, _) => drop(submitted.insert(*id)),
                 JobRecord::Progress(id, _) => assert!(submitted.contains(id), "{id} too early"),
@@ -200,25 +200,25 @@
 /// Guards against a cancelled job that runs, as its cancellation reached the leader before the job itself.
 #[test]
 fn a_cancellation_that_comes_before_its_job_holds() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = job_id(1);
-    stage.append(&JobRecord::Cancelled(id));
-    stage.pump();
-    stage.submit(1, job(vec![step(2)]));
-    stage.advance(1_000);
-    assert_eq!((stage.starts(task(id, 0, 0)), stage.state(id)), (0, Some(JobState::Cancelled)));
+    sim.append(&JobRecord::Cancelled(id));
+    sim.run_until_idle();
+    sim.submit(1, job(vec![step(2)]));
+    sim.advance(1_000);
+    assert_eq!((sim.starts(task(id, 0, 0)), sim.state(id)), (0, Some(JobState::Cancelled)));
 }
 
 /// Guards against the same where the leader changes between the two.
 #[test]
 fn a_cancellation_that_comes_before_its_job_holds_for_the_next_leader() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = job_id(1);
-    stage.append(&JobRecord::Cancelled(id));
-    stage.take_over(2, config());
-    stage.submit(1, job(vec![step(2)]));
-    stage.advance(1_000);
-    assert_eq!((stage.starts(task(id, 0, 0)), stage.state(id)), (0, Some(JobState::Cancelled)));
+    sim.append(&JobRecord::Cancelled(id));
+    sim.take_over(2, config());
+    sim.submit(1, job(vec![step(2)]));
+    sim.advance(1_000);
+    assert_eq!((sim.starts(task(id, 0, 0)), sim.state(id)), (0, Some(JobState::Cancelled)));
 }
 
 /// Room of a commit that takes some 20 records.
@@ -227,77 +227,77 @@
 const CHANGED: u64 = 600;
 
 /// A full worker, with jobs that wait; the log is away. Answers with a task that runs.
-fn full_pool() -> (Stage, ibisweir::jobs::model::TaskKey) {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+fn full_pool() -> (SchedulerSim, ibisweir::jobs::model::TaskKey) {
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     for id in 0..CHANGED {
-        stage.submit(id, job(vec![step(1)]));
+        sim.submit(id, job(vec![step(1)]));
     }
-    stage.log_is_up = false;
-    let running = stage.started.first().expect("some run").0;
-    (stage, running)
+    sim.is_log_up = false;
+    let running = sim.started.first().expect("some run").0;
+    (sim, running)
 }
 
 /// Cancels jobs that wait.
-fn cancel_waiting(stage: &mut Stage, ids: std::ops::Range<u64>) {
+fn cancel_waiting(sim: &mut SchedulerSim, ids: std::ops::Range<u64>) {
     for id in ids {
-        assert_eq!(stage.starts(task(job_id(id), 0, 0)), 0, "it runs");
-        stage.append(&JobRecord::Cancelled(job_id(id)));
+        assert_eq!(sim.starts(task(job_id(id), 0, 0)), 0, "it runs");
+        sim.append(&JobRecord::Cancelled(job_id(id)));
     }
-    stage.pump();
+    sim.run_until_idle();
 }
 
 /// Guards against a task that waits to start behind all other changes on a narrow link.
 #[test]
 fn a_start_goes_before_other_changes() {
-    let (mut stage, running) = full_pool();
-    cancel_waiting(&mut stage, 200..CHANGED);
-    let placed = stage.notes.len();
-    stage.end(running, ExitKind::Done);
-    stage.advance(200);
-    let started = stage.notes[placed..].iter().find_map(|note| match note {
-        SchedulerNote::Placed { task, .. } => Some(task.job),
+    let (mut sim, running) = full_pool();
+    cancel_waiting(&mut sim, 200..CHANGED);
+    let placed = sim.events.len();
+    sim.end(running, ExitKind::Done);
+    sim.advance(200);
+    let started = sim.events[placed..].iter().find_map(|note| match note {
+        SchedulerEvent::Placed { task, .. } => Some(task.job),
         _ => None,
     });
     assert!(started.is_some(), "nothing was placed");
-    let batch = stage.scheduler.take_commit_within(SMALL_ROOM).expect("an append");
+    let batch = sim.scheduler.take_commit_within(SMALL_ROOM).expect("an append");
     assert!(batch.records.len() < 100, "all fits");
-    assert_eq!(batch.folded.first().and_then(JobRecord::job), started);
+    assert_eq!(batch.decoded.first().and_then(JobRecord::job), started);
 }
 
 /// Guards against ends that workers list again and again, as other changes always wait for the log behind them.
 #[test]
 fn ends_are_acknowledged_though_changes_keep_coming() {
-    let (mut stage, running) = full_pool();
-    cancel_waiting(&mut stage, 200..240);
-    stage.end(running, ExitKind::Done);
-    stage.advance(200);
+    let (mut sim, running) = full_pool();
+    cancel_waiting(&mut sim, 200..240);
+    sim.end(running, ExitKind::Done);
+    sim.advance(200);
     for first in (240..CHANGED).step_by(40) {
         // More than the commits take, each time.
-        cancel_waiting(&mut stage, first..first + 40);
+        cancel_waiting(&mut sim, first..first + 40);
         for _ in 0..6 {
-            let batch = stage.scheduler.take_commit_within(SMALL_ROOM / 8).expect("an append");
-            stage.scheduler.committed(&batch, stage.now);
+            let batch = sim.scheduler.take_commit_within(SMALL_ROOM / 8).expect("an append");
+            sim.scheduler.committed(&batch, sim.now);
         }
     }
-    stage.advance(200);
-    assert!(stage.scheduler.take_commit_within(SMALL_ROOM / 8).is_some(), "nothing was left");
-    assert!(stage.workers["w1"].exits.is_empty(), "no end was acknowledged");
+    sim.advance(200);
+    assert!(sim.scheduler.take_commit_within(SMALL_ROOM / 8).is_some(), "nothing was left");
+    assert!(sim.workers["w1"].exits.is_empty(), "no end was acknowledged");
 }
 
 /// Guards against a batch of another entry that is told of before all of it is on the log, and against progress of a job
 /// that the log does not have.
 #[test]
 fn a_batch_that_does_not_fit_is_told_of_with_its_last_part() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let submitted = Arc::new(submission(job(vec![step(1)])));
     let records = (0..CHANGED).map(|id| JobRecord::Submitted(job_id(id), submitted.clone()));
-    stage.scheduler.relay(7, records.collect(), stage.now);
-    stage.scheduler.tick(stage.now, 0);
+    sim.scheduler.relay(7, records.collect(), sim.now);
+    sim.scheduler.tick(sim.now, 0);
     let mut stored = std::collections::BTreeSet::new();
     let mut commits = 0;
-    while let Some(batch) = stage.scheduler.take_commit_within(SMALL_ROOM) {
+    while let Some(batch) = sim.scheduler.take_commit_within(SMALL_ROOM) {
         commits += 1;
-        for record in &batch.folded {
+        for record in &batch.decoded {
             match record {
                 JobRecord::Submitted(id, _) => drop(stored.insert(*id)),
                 JobRecord::Progress(id, _) => assert!(stored.contains(id), "{id} too early"),
@@ -306,7 +306,7 @@
         }
         let is_whole = stored.len() == usize::try_from(CHANGED).expect("few");
         assert!(batch.relayed.is_empty() || is_whole, "told of too early");
-        stage.scheduler.committed(&batch, stage.now);
+        sim.scheduler.committed(&batch, sim.now);
     }
     assert!(commits > 3, "it fits");
     assert_eq!(stored.len(), usize::try_from(CHANGED).expect("few"));
@@ -315,17 +315,17 @@
 /// Guards against ends that are never acknowledged while large submissions of other entries fill each append.
 #[test]
 fn ends_are_acknowledged_though_large_submissions_keep_coming() {
-    let (mut stage, running) = full_pool();
-    stage.end(running, ExitKind::Done);
-    stage.advance(200);
+    let (mut sim, running) = full_pool();
+    sim.end(running, ExitKind::Done);
+    sim.advance(200);
     let spec = JobSpec { payload: "x".repeat(SMALL_ROOM + 1_000), ..job(vec![step(1)]) };
     let submitted = Arc::new(submission(spec));
     for id in 0..20 {
         let record = JobRecord::Submitted(job_id(10_000 + id), submitted.clone());
-        stage.scheduler.relay(id, vec![record], stage.now);
-        let batch = stage.scheduler.take_commit_within(SMALL_ROOM).expect("an append");
-        stage.scheduler.committed(&batch, stage.now);
+        sim.scheduler.relay(id, vec![record], sim.now);
+        let batch = sim.scheduler.take_commit_within(SMALL_ROOM).expect("an append");
+        sim.scheduler.committed(&batch, sim.now);
     }
-    stage.advance(200);
-    assert!(stage.workers["w1"].exits.is_empty(), "no end was acknowledged");
+    sim.advance(200);
+    assert!(sim.workers["w1"].exits.is_empty(), "no end was acknowledged");
 }
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -12,10 +12,10 @@
 use ibisweir::jobs::site::{MaintenanceWave, PoolSpec, SiteConfig, VmEntry, VmState, WorkerEntry};
 use ibisweir::scheduler::demand::ArrivalRate;
 use ibisweir::scheduler::runtime::RuntimeModel;
-use ibisweir::scheduler::{VM_COMMAND_LIFE_MS, VM_CONFIRMATION_MS};
-use support::stage::{
-    POOL, STANDBY, Stage, config, job, job_id, queue, service_step, step, submission, task, vm,
-    worker,
+use ibisweir::scheduler::{VM_COMMAND_LIFETIME_MS, VM_CONFIRMATION_TIMEOUT_MS};
+use support::sim::{
+    POOL, STANDBY, SchedulerSim, config, job, job_id, queue, service_step, step, submission, task,
+    vm, worker,
 };
 
 fn workers(count: usize) -> Vec<WorkerEntry> {
@@ -33,26 +33,26 @@
 }
 
 /// Workers on which the first `count` tasks of a job's first step stand.
-fn hosts(stage: &Stage, pool: &[WorkerEntry], id: JobId, count: u32) -> Vec<WorkerEntry> {
+fn hosts(sim: &SchedulerSim, pool: &[WorkerEntry], id: JobId, count: u32) -> Vec<WorkerEntry> {
     (0..count)
-        .map(|index| stage.place(task(id, 0, index)))
+        .map(|index| sim.place(task(id, 0, index)))
         .map(|place| pool.iter().find(|worker| worker.id == place).expect("known").clone())
         .collect()
 }
 
 /// Lets the first `count` tasks of a job come to work and stay there for a while.
-fn settle(stage: &mut Stage, id: JobId, count: u32) {
+fn settle(sim: &mut SchedulerSim, id: JobId, count: u32) {
     for _ in 0..5 {
         for index in 0..count {
-            stage.progress(task(id, 0, index), 100, 0);
+            sim.progress(task(id, 0, index), 100, 0);
         }
-        stage.advance(100);
+        sim.advance(100);
     }
 }
 
-fn assigned_to(stage: &Stage, pool: &str) -> usize {
+fn assigned_to(sim: &SchedulerSim, pool: &str) -> usize {
     let to = |command: &&VmCommand| matches!(command, VmCommand::Assign { pool: to, .. } if &**to == pool);
-    stage.vm_commands.iter().filter(to).count()
+    sim.vm_commands.iter().filter(to).count()
 }
 
 /// A queue that was quiet begins to ask for several times what its pool holds. Callers' objectives
@@ -61,14 +61,14 @@
 #[test]
 fn a_burst_calls_for_vms_by_its_rate_not_by_its_queue() {
     let pool = workers(1);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 20), stage.now, stage.now);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
     // Each 50 ms a job of four core-seconds: eighty cores, ten VMs, once it is steady.
     for id in 0..10 {
-        stage.submit(id, job(vec![step(4)]));
-        stage.advance(50);
+        sim.submit(id, job(vec![step(4)]));
+        sim.advance(50);
     }
-    let called = assigned_to(&stage, POOL);
+    let called = assigned_to(&sim, POOL);
     // The ten jobs that have come take forty cores, four VMs beside the one that is there.
     assert!((5..=12).contains(&called), "{called} VMs called for after half a second");
 }
@@ -109,10 +109,10 @@
 #[test]
 fn idle_vms_leave_a_part_at_a_time() {
     let pool = workers(16);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.advance(2_000);
-    let leaving = assigned_to(&stage, STANDBY);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.advance(2_000);
+    let leaving = assigned_to(&sim, STANDBY);
     // One VM stays with the pool; of the other fifteen a half leaves, and no more until those are there.
     assert_eq!(leaving, 7, "of 16 idle VMs");
 }
@@ -122,12 +122,12 @@
 #[test]
 fn a_wave_takes_no_more_vms_at_once_than_it_may() {
     let pool = workers(6);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&pool, 2), BTreeSet::new(), stage.now);
-    stage.advance(1_500);
-    assert_eq!(maintained(&stage).len(), 2);
-    assert_eq!(stage.told, vec![(1, false)]);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&pool, 2), BTreeSet::new(), sim.now);
+    sim.advance(1_500);
+    assert_eq!(maintained(&sim).len(), 2);
+    assert_eq!(sim.wave_statuses, vec![(1, false)]);
 }
 
 /// VMs that are off have no worker, before their maintenance and after it. The list shows the first two up again: the
@@ -136,25 +136,25 @@
 #[test]
 fn vms_without_workers_make_room_in_a_wave_as_soon_as_they_are_back() {
     let pool = workers(1);
-    let mut stage = Stage::open(config(), pool.clone());
+    let mut sim = SchedulerSim::open(config(), pool.clone());
     let list = vms(&pool, 4);
-    stage.scheduler.take_vms(list.clone(), stage.now, stage.now);
+    sim.scheduler.update_vms(list.clone(), sim.now, sim.now);
     let due = MaintenanceWave {
         vms: list.iter().filter(|vm| &*vm.pool == STANDBY).map(|vm| vm.vm.clone()).collect(),
         ..wave(&pool, 2)
     };
-    stage.scheduler.take_wave(due, BTreeSet::new(), stage.now);
-    stage.advance(200);
-    assert_eq!(maintained(&stage).len(), 2);
+    sim.scheduler.add_wave(due, BTreeSet::new(), sim.now);
+    sim.advance(200);
+    assert_eq!(maintained(&sim).len(), 2);
     let mut down = list.clone();
-    let is_begun = |vm: &VmEntry| maintained(&stage).contains(&vm.vm);
+    let is_begun = |vm: &VmEntry| maintained(&sim).contains(&vm.vm);
     down.iter_mut().filter(|vm| is_begun(vm)).for_each(|vm| vm.state = VmState::InMaintenance);
-    stage.scheduler.take_vms(down, stage.now, stage.now);
-    stage.advance(500);
-    assert_eq!(maintained(&stage).len(), 2, "they are still down");
-    stage.scheduler.take_vms(list, stage.now, stage.now);
-    stage.advance(500);
-    assert_eq!(maintained(&stage).len(), 4);
+    sim.scheduler.update_vms(down, sim.now, sim.now);
+    sim.advance(500);
+    assert_eq!(maintained(&sim).len(), 2, "they are still down");
+    sim.scheduler.update_vms(list, sim.now, sim.now);
+    sim.advance(500);
+    assert_eq!(maintained(&sim).len(), 4);
 }
 
 /// One VM of a wave may be down at a time, and one is. Another has just been emptied of its services:
@@ -162,17 +162,17 @@
 #[test]
 fn a_vm_that_was_emptied_waits_for_its_turn() {
     let pool = workers(4);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    let id = stage.submit(1, job(vec![service_step(1)]));
-    stage.progress(task(id, 0, 0), 100, 100);
-    let host = stage.place(task(id, 0, 0));
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    let id = sim.submit(1, job(vec![service_step(1)]));
+    sim.progress(task(id, 0, 0), 100, 100);
+    let host = sim.place(task(id, 0, 0));
     let host = pool.iter().find(|worker| worker.id == host).expect("known").clone();
     let other = pool.iter().find(|worker| worker.id != host.id).expect("known").clone();
-    stage.scheduler.take_wave(wave(&[host, other], 1), BTreeSet::new(), stage.now);
-    stage.advance(2_000);
-    assert_ne!(stage.starts(task(id, 0, 0)), 1, "the service was moved");
-    assert_eq!(maintained(&stage).len(), 1);
+    sim.scheduler.add_wave(wave(&[host, other], 1), BTreeSet::new(), sim.now);
+    sim.advance(2_000);
+    assert_ne!(sim.starts(task(id, 0, 0)), 1, "the service was moved");
+    assert_eq!(maintained(&sim).len(), 1);
 }
 
 /// A VM that is due runs tasks of a step that may miss one. They are moved one at a time, each only
@@ -180,20 +180,20 @@
 #[test]
 fn services_are_moved_within_their_budget() {
     let pool = workers(6);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
     let lasting = StepSpec { disruption_budget: 1, ..service_step(4) };
-    let id = stage.submit(1, job(vec![lasting]));
-    settle(&mut stage, id, 4);
-    let due = hosts(&stage, &pool, id, 4);
-    stage.scheduler.take_wave(wave(&due, 4), BTreeSet::new(), stage.now);
+    let id = sim.submit(1, job(vec![lasting]));
+    settle(&mut sim, id, 4);
+    let due = hosts(&sim, &pool, id, 4);
+    sim.scheduler.add_wave(wave(&due, 4), BTreeSet::new(), sim.now);
     for _ in 0..40 {
-        stage.advance(20);
-        let away = (0..4).filter(|index| stage.alive(task(id, 0, *index)) == 0).count();
+        sim.advance(20);
+        let away = (0..4).filter(|index| sim.alive(task(id, 0, *index)) == 0).count();
         assert!(away <= 1, "{away} of 4 away");
     }
     // The one that was moved is not at work yet, so no other was ended.
-    let starts: usize = (0..4).map(|index| stage.starts(task(id, 0, index))).sum();
+    let starts: usize = (0..4).map(|index| sim.starts(task(id, 0, index))).sum();
     assert_eq!(starts, 5);
 }
 
@@ -202,22 +202,22 @@
 #[test]
 fn as_many_vms_are_emptied_at_a_time_as_budgets_allow() {
     let pool = workers(8);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
     let lasting = StepSpec { disruption_budget: 2, ..service_step(4) };
-    let id = stage.submit(1, job(vec![lasting]));
-    settle(&mut stage, id, 4);
-    let due = hosts(&stage, &pool, id, 4);
-    for worker in stage.workers.values_mut() {
+    let id = sim.submit(1, job(vec![lasting]));
+    settle(&mut sim, id, 4);
+    let due = hosts(&sim, &pool, id, 4);
+    for worker in sim.workers.values_mut() {
         worker.stop_ms = 2_000;
     }
-    stage.scheduler.take_wave(wave(&due, 4), BTreeSet::new(), stage.now);
+    sim.scheduler.add_wave(wave(&due, 4), BTreeSet::new(), sim.now);
     for _ in 0..40 {
-        stage.advance(20);
-        let leaving: usize = stage.workers.values().map(|worker| worker.ending.len()).sum();
+        sim.advance(20);
+        let leaving: usize = sim.workers.values().map(|worker| worker.ending.len()).sum();
         assert!(leaving <= 2, "{leaving} of 4 are being stopped");
     }
-    let leaving: usize = stage.workers.values().map(|worker| worker.ending.len()).sum();
+    let leaving: usize = sim.workers.values().map(|worker| worker.ending.len()).sum();
     assert_eq!(leaving, 2);
 }
 
@@ -226,28 +226,28 @@
 /// after the wave began, and the VM that may stay.
 fn moved_in_a_wave(fill: StepSpec) -> (usize, Arc<str>, Arc<str>) {
     let pool = workers(3);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    let id = stage.submit(1, job(vec![service_step(1)]));
-    settle(&mut stage, id, 1);
-    let host = stage.place(task(id, 0, 0));
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    let id = sim.submit(1, job(vec![service_step(1)]));
+    settle(&mut sim, id, 1);
+    let host = sim.place(task(id, 0, 0));
     let mut others = pool.iter().filter(|worker| worker.id != host);
     let (other, lasting) = (others.next().expect("three"), others.next().expect("three"));
     for (worker, label) in [(other, "other"), (lasting, "lasting")] {
         let labels = vec![label.into(), "r0".into()];
-        stage.scheduler.worker_seen(WorkerEntry { labels, ..worker.clone() }, stage.now);
+        sim.scheduler.worker_seen(WorkerEntry { labels, ..worker.clone() }, sim.now);
     }
     let labelled = |label: &str, spec| StepSpec { required_label: Some(label.into()), ..spec };
-    let full = stage.submit(2, job(vec![labelled("lasting", fill)]));
-    settle(&mut stage, full, 8);
+    let full = sim.submit(2, job(vec![labelled("lasting", fill)]));
+    settle(&mut sim, full, 8);
     let beside = StepSpec { per_worker_max: 0, ..service_step(2) };
-    let second = stage.submit(3, job(vec![labelled("other", beside)]));
-    settle(&mut stage, second, 2);
+    let second = sim.submit(3, job(vec![labelled("other", beside)]));
+    settle(&mut sim, second, 2);
     let due: Vec<WorkerEntry> =
         pool.iter().filter(|worker| worker.id != lasting.id).cloned().collect();
-    stage.scheduler.take_wave(wave(&due, 1), BTreeSet::new(), stage.now);
-    stage.advance(600);
-    (stage.starts(task(id, 0, 0)), stage.place(task(id, 0, 0)), lasting.id.clone())
+    sim.scheduler.add_wave(wave(&due, 1), BTreeSet::new(), sim.now);
+    sim.advance(600);
+    (sim.starts(task(id, 0, 0)), sim.place(task(id, 0, 0)), lasting.id.clone())
 }
 
 /// A service task leaves a VM that is due while a burst fills the one that may stay. The free room is on
@@ -274,33 +274,33 @@
 #[test]
 fn a_wave_is_told_complete_when_all_have_begun() {
     let pool = workers(2);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&pool, 2), BTreeSet::new(), stage.now);
-    stage.advance(1_000);
-    assert_eq!(maintained(&stage).len(), 2);
-    assert_eq!(stage.told, vec![(1, false), (1, true)]);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&pool, 2), BTreeSet::new(), sim.now);
+    sim.advance(1_000);
+    assert_eq!(maintained(&sim).len(), 2);
+    assert_eq!(sim.wave_statuses, vec![(1, false), (1, true)]);
 }
 
 /// A new leader takes over in the middle of a wave. What the log says to be done is not done again.
 #[test]
 fn a_successor_goes_on_with_a_wave_where_it_stood() {
     let pool = workers(2);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&pool, 1), BTreeSet::new(), stage.now);
-    stage.advance(300);
-    let first = maintained(&stage);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&pool, 1), BTreeSet::new(), sim.now);
+    sim.advance(300);
+    let first = maintained(&sim);
     assert_eq!(first.len(), 1);
 
-    let done = stage.book.maintained(1);
+    let done = sim.book.maintained(1);
     assert_eq!(done, first);
-    stage.take_over(2, config());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&pool, 1), done, stage.now);
-    stage.advance(300);
-    assert_eq!(maintained(&stage).len(), 2);
-    assert_eq!(stage.vm_commands.len(), 2);
+    sim.take_over(2, config());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&pool, 1), done, sim.now);
+    sim.advance(300);
+    assert_eq!(maintained(&sim).len(), 2);
+    assert_eq!(sim.vm_commands.len(), 2);
 }
 
 /// A new leader finds a wave with nothing left to do. Operators have been told that it is complete, and
@@ -308,19 +308,19 @@
 #[test]
 fn a_successor_tells_nobody_that_a_complete_wave_runs() {
     let pool = workers(2);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&pool, 2), BTreeSet::new(), stage.now);
-    stage.advance(1_000);
-    assert_eq!(stage.told.last(), Some(&(1, true)));
-
-    let done = stage.book.maintained(1);
-    stage.take_over(2, config());
-    stage.told.clear();
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&pool, 2), done, stage.now);
-    stage.advance(300);
-    assert_eq!(stage.told, vec![(1, true)]);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&pool, 2), BTreeSet::new(), sim.now);
+    sim.advance(1_000);
+    assert_eq!(sim.wave_statuses.last(), Some(&(1, true)));
+
+    let done = sim.book.maintained(1);
+    sim.take_over(2, config());
+    sim.wave_statuses.clear();
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&pool, 2), done, sim.now);
+    sim.advance(300);
+    assert_eq!(sim.wave_statuses, vec![(1, true)]);
 }
 
 /// Callers of a service find two of its tasks away where one may be. Its leader stops the first task
@@ -329,38 +329,38 @@
 #[test]
 fn a_successor_counts_a_task_that_is_being_stopped_as_away() {
     let pool = workers(6);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
     let lasting = StepSpec { disruption_budget: 1, ..service_step(4) };
-    let id = stage.submit(1, job(vec![lasting]));
-    for worker in stage.workers.values_mut() {
+    let id = sim.submit(1, job(vec![lasting]));
+    for worker in sim.workers.values_mut() {
         worker.stop_ms = 200;
     }
     for _ in 0..5 {
         for index in 0..4 {
-            stage.progress(task(id, 0, index), 100, 0);
+            sim.progress(task(id, 0, index), 100, 0);
         }
-        stage.advance(100);
+        sim.advance(100);
     }
-    let due = hosts(&stage, &pool, id, 4);
-    stage.scheduler.take_wave(wave(&due, 4), BTreeSet::new(), stage.now);
+    let due = hosts(&sim, &pool, id, 4);
+    sim.scheduler.add_wave(wave(&due, 4), BTreeSet::new(), sim.now);
     let mut waited = 0;
-    while stage.workers.values().all(|worker| worker.ending.is_empty()) {
-        stage.advance(20);
+    while sim.workers.values().all(|worker| worker.ending.is_empty()) {
+        sim.advance(20);
         waited += 20;
         assert!(waited < 4_000, "no task was stopped");
     }
     // The successor would begin with another VM: the first one has more to end by now.
     let others: Vec<WorkerEntry> =
-        due.iter().filter(|worker| stage.workers[&worker.id].ending.is_empty()).cloned().collect();
-    stage.take_over(2, config());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    stage.scheduler.take_wave(wave(&others, 4), BTreeSet::new(), stage.now);
+        due.iter().filter(|worker| sim.workers[&worker.id].ending.is_empty()).cloned().collect();
+    sim.take_over(2, config());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    sim.scheduler.add_wave(wave(&others, 4), BTreeSet::new(), sim.now);
     for _ in 0..100 {
-        let ending: usize = stage.workers.values().map(|worker| worker.ending.len()).sum();
-        let gone = (0..4).filter(|index| stage.alive(task(id, 0, *index)) == 0).count();
+        let ending: usize = sim.workers.values().map(|worker| worker.ending.len()).sum();
+        let gone = (0..4).filter(|index| sim.alive(task(id, 0, *index)) == 0).count();
         assert!(ending + gone <= 1, "{ending} being stopped, {gone} gone");
-        stage.advance(20);
+        sim.advance(20);
     }
 }
 
@@ -369,31 +369,31 @@
 #[test]
 fn services_are_moved_together_after_a_burst() {
     let pool = workers(4);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
     // Each worker is full but for one place, so that the service's tasks must spread.
-    let full = stage.submit(1, job(vec![StepSpec { per_worker_max: 7, ..step(28) }]));
-    stage.advance(100);
-    let spread = stage.submit(2, job(vec![StepSpec { per_worker_max: 2, ..service_step(4) }]));
-    stage.advance(100);
+    let full = sim.submit(1, job(vec![StepSpec { per_worker_max: 7, ..step(28) }]));
+    sim.advance(100);
+    let spread = sim.submit(2, job(vec![StepSpec { per_worker_max: 2, ..service_step(4) }]));
+    sim.advance(100);
     for index in 0..28 {
-        stage.end(task(full, 0, index), ExitKind::Done);
+        sim.end(task(full, 0, index), ExitKind::Done);
     }
-    let places = |stage: &Stage| {
-        (0..4).map(|index| stage.place(task(spread, 0, index))).collect::<BTreeSet<_>>().len()
+    let places = |sim: &SchedulerSim| {
+        (0..4).map(|index| sim.place(task(spread, 0, index))).collect::<BTreeSet<_>>().len()
     };
-    assert_eq!(places(&stage), 4);
+    assert_eq!(places(&sim), 4);
     for _ in 0..60 {
-        stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
+        sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
         for index in 0..4 {
-            stage.progress(task(spread, 0, index), 100, 0);
+            sim.progress(task(spread, 0, index), 100, 0);
         }
-        stage.advance(100);
-        let away = (0..4).filter(|index| stage.alive(task(spread, 0, *index)) == 0).count();
+        sim.advance(100);
+        let away = (0..4).filter(|index| sim.alive(task(spread, 0, *index)) == 0).count();
         assert!(away <= 1, "{away} of 4 away");
     }
-    assert!(places(&stage) <= 3, "{} VMs", places(&stage));
-    assert!(assigned_to(&stage, STANDBY) >= 1);
+    assert!(places(&sim) <= 3, "{} VMs", places(&sim));
+    assert!(assigned_to(&sim, STANDBY) >= 1);
 }
 
 /// One queue expects work: its jobs' later steps have not begun, and its VMs idle. Another queue's
@@ -403,18 +403,18 @@
     let config = two_pools();
     let mut pool = workers(9);
     pool[8].service = OTHER_POOL.into();
-    let mut stage = Stage::open(config, pool.clone());
+    let mut sim = SchedulerSim::open(config, pool.clone());
     let listed: Vec<VmEntry> = pool.iter().map(|worker| vm(worker, &worker.service)).collect();
     // Its second step will want sixteen VMs, but the first runs on one.
     let later = StepSpec { after: vec![0], ..step(128) };
-    stage.submit(1, job(vec![StepSpec { estimate_ms: 60_000, ..step(1) }, later]));
-    stage.advance(3_000);
-    stage.scheduler.take_vms(listed, stage.now, stage.now);
+    sim.submit(1, job(vec![StepSpec { estimate_ms: 60_000, ..step(1) }, later]));
+    sim.advance(3_000);
+    sim.scheduler.update_vms(listed, sim.now, sim.now);
     let mut waiting = submission(job(vec![step(32)]));
     waiting.queue = OTHER_QUEUE.into();
-    stage.append(&JobRecord::Submitted(job_id(2), Arc::new(waiting)));
-    stage.advance(200);
-    assert!(assigned_to(&stage, OTHER_POOL) >= 3, "{:?}", stage.vm_commands);
+    sim.append(&JobRecord::Submitted(job_id(2), Arc::new(waiting)));
+    sim.advance(200);
+    assert!(assigned_to(&sim, OTHER_POOL) >= 3, "{:?}", sim.vm_commands);
 }
 
 const OTHER_QUEUE: &str = "letters";
@@ -436,16 +436,16 @@
 #[test]
 fn a_vm_that_is_due_is_not_taken_from_under_a_task() {
     let pool = workers(1);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 0), stage.now, stage.now);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.scheduler.take_wave(wave(&pool, 1), BTreeSet::new(), stage.now);
-    stage.advance(500);
-    assert!(maintained(&stage).is_empty());
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(500);
-    assert_eq!(maintained(&stage).len(), 1);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.scheduler.add_wave(wave(&pool, 1), BTreeSet::new(), sim.now);
+    sim.advance(500);
+    assert!(maintained(&sim).is_empty());
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(500);
+    assert_eq!(maintained(&sim).len(), 1);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 fn wave(due: &[WorkerEntry], parallel_max: usize) -> MaintenanceWave {
@@ -457,12 +457,12 @@
     }
 }
 
-fn maintained(stage: &Stage) -> BTreeSet<Arc<str>> {
+fn maintained(sim: &SchedulerSim) -> BTreeSet<Arc<str>> {
     let vm = |command: &VmCommand| match command {
         VmCommand::Maintain { vm, .. } => Some(vm.clone()),
         VmCommand::Assign { .. } => None,
     };
-    stage.vm_commands.iter().filter_map(vm).collect()
+    sim.vm_commands.iter().filter_map(vm).collect()
 }
 
 /// A leader was cut off with a command to a VM on its way, and another takes over. Where the VM service
@@ -472,17 +472,17 @@
 fn a_successor_waits_out_commands_to_vms_that_nobody_fences() {
     let is_held = |are_vms_fenced, end| {
         let pool = workers(1);
-        let mut stage = Stage::open(config(), pool.clone());
-        stage.bounds.are_vms_fenced = are_vms_fenced;
-        stage.predecessor_end = end;
-        stage.submit(1, job(vec![step(40)]));
-        stage.take_over(2, config());
-        stage.scheduler.take_vms(vms(&pool, 20), stage.now, stage.now);
-        stage.advance(VM_COMMAND_LIFE_MS - 100);
-        let is_held = stage.vm_commands.is_empty();
-        stage.scheduler.take_vms(vms(&pool, 20), stage.now, stage.now);
-        stage.advance(200);
-        assert!(assigned_to(&stage, POOL) > 0);
+        let mut sim = SchedulerSim::open(config(), pool.clone());
+        sim.bounds.are_vms_fenced = are_vms_fenced;
+        sim.predecessor_end = end;
+        sim.submit(1, job(vec![step(40)]));
+        sim.take_over(2, config());
+        sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
+        sim.advance(VM_COMMAND_LIFETIME_MS - 100);
+        let is_held = sim.vm_commands.is_empty();
+        sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
+        sim.advance(200);
+        assert!(assigned_to(&sim, POOL) > 0);
         is_held
     };
     assert!(is_held(false, PredecessorEnd::Unknown));
@@ -495,13 +495,13 @@
 #[test]
 fn vms_are_commanded_only_while_no_successor_can_have_begun() {
     let pool = workers(1);
-    let mut stage = Stage::open(config(), pool.clone());
-    stage.scheduler.take_vms(vms(&pool, 20), stage.now, stage.now);
-    stage.advance_unconfirmed(VM_CONFIRMATION_MS);
-    stage.submit(1, job(vec![step(40)]));
-    stage.advance_unconfirmed(400);
-    assert!(stage.vm_commands.is_empty(), "{:?}", stage.vm_commands);
-    stage.scheduler.take_vms(vms(&pool, 20), stage.now, stage.now);
-    stage.advance(400);
-    assert!(assigned_to(&stage, POOL) > 0);
+    let mut sim = SchedulerSim::open(config(), pool.clone());
+    sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
+    sim.advance_unconfirmed(VM_CONFIRMATION_TIMEOUT_MS);
+    sim.submit(1, job(vec![step(40)]));
+    sim.advance_unconfirmed(400);
+    assert!(sim.vm_commands.is_empty(), "{:?}", sim.vm_commands);
+    sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
+    sim.advance(400);
+    assert!(assigned_to(&sim, POOL) > 0);
 }
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -8,8 +8,10 @@
 use ibisweir::jobs::ports::{CommandOutcome, CommandRefusal, PermitGrant};
 use ibisweir::jobs::record::{JobRecord, LossCount};
 use ibisweir::jobs::site::PermitPolicy;
-use ibisweir::scheduler::SchedulerNote;
-use support::stage::{Stage, config, job, job_id, service_step, step, submission, task, worker};
+use ibisweir::scheduler::SchedulerEvent;
+use support::sim::{
+    SchedulerSim, config, job, job_id, service_step, step, submission, task, worker,
+};
 
 /// Workers that a task may cost until it is given up: one that it shares with others, two that name it.
 const WORKERS_LOST_MAX: usize = 3;
@@ -17,16 +19,16 @@
 const BOUND: usize = 5;
 
 /// A stage of four workers.
-fn four_workers() -> Stage {
+fn four_workers() -> SchedulerSim {
     let pool = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 2))).collect();
-    Stage::open(config(), pool)
+    SchedulerSim::open(config(), pool)
 }
 
 /// Lets time pass and ends what has been at work for a second.
-fn work(stage: &mut Stage, ms: u64) {
+fn work(sim: &mut SchedulerSim, ms: u64) {
     for _ in 0..ms / 100 {
-        stage.advance(100);
-        let running = stage.workers.iter_mut().filter(|(_, worker)| !worker.is_silent);
+        sim.advance(100);
+        let running = sim.workers.iter_mut().filter(|(_, worker)| !worker.is_silent);
         for worker in running.map(|(_, worker)| worker) {
             worker.running.values_mut().for_each(|percent| *percent = (*percent + 10).min(100));
             let over = worker.running.iter().filter(|(_, percent)| **percent == 100);
@@ -36,14 +38,14 @@
     }
 }
 
-fn are_completed(stage: &Stage, ids: &[JobId]) -> bool {
-    ids.iter().all(|id| stage.state(*id) == Some(JobState::Completed))
+fn are_completed(sim: &SchedulerSim, ids: &[JobId]) -> bool {
+    ids.iter().all(|id| sim.state(*id) == Some(JobState::Completed))
 }
 
 /// Times at work that were logged for lost runs of a task.
-fn times_at_work(stage: &Stage, key: TaskKey) -> Vec<Option<u64>> {
-    let lost = stage.notes.iter().filter_map(|note| match note {
-        SchedulerNote::Lost { task, at_work_ms, .. } if *task == key => Some(*at_work_ms),
+fn times_at_work(sim: &SchedulerSim, key: TaskKey) -> Vec<Option<u64>> {
+    let lost = sim.events.iter().filter_map(|note| match note {
+        SchedulerEvent::Lost { task, at_work_ms, .. } if *task == key => Some(*at_work_ms),
         _ => None,
     });
     lost.collect()
@@ -53,14 +55,14 @@
 /// look for what crashes workers read from the log how long each had been at work.
 #[test]
 fn a_lost_run_is_logged_with_its_time_at_work() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let older = stage.submit(1, job(vec![step(1)]));
-    stage.advance(600);
-    let newer = stage.submit(2, job(vec![step(1)]));
-    stage.advance(100);
-    stage.crash("w1");
-
-    let told = |id| times_at_work(&stage, task(id, 0, 0))[0].expect("the worker told of it");
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let older = sim.submit(1, job(vec![step(1)]));
+    sim.advance(600);
+    let newer = sim.submit(2, job(vec![step(1)]));
+    sim.advance(100);
+    sim.crash("w1");
+
+    let told = |id| times_at_work(&sim, task(id, 0, 0))[0].expect("the worker told of it");
     assert!((600..=700).contains(&told(older)), "{}", told(older));
     assert!(told(newer) <= 100, "{}", told(newer));
 }
@@ -72,30 +74,30 @@
 /// whose run numbers rose by one each time ("run":10 to 14, 8 to 10, 12 to 15, 7 to 8).
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up_and_the_others_are_served() {
-    let mut stage = four_workers();
-    let innocent: Vec<JobId> = (1..=6).map(|n| stage.submit(n, job(vec![step(4)]))).collect();
-    stage.crashers.insert(task(job_id(7), 0, 0));
-    let bad = stage.submit(7, job(vec![step(4)]));
-    let later: Vec<JobId> = (8..=12).map(|n| stage.submit(n, job(vec![step(3)]))).collect();
-    work(&mut stage, 15_000);
+    let mut sim = four_workers();
+    let innocent: Vec<JobId> = (1..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
+    sim.crashing_tasks.insert(task(job_id(7), 0, 0));
+    let bad = sim.submit(7, job(vec![step(4)]));
+    let later: Vec<JobId> = (8..=12).map(|n| sim.submit(n, job(vec![step(3)]))).collect();
+    work(&mut sim, 15_000);
 
-    assert!(stage.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", stage.lost.len());
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(are_completed(&stage, &innocent) && are_completed(&stage, &later));
+    assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(are_completed(&sim, &innocent) && are_completed(&sim, &later));
 }
 
 /// What the log tells of the workers lost under a task.
-fn told_losses(stage: &Stage, key: TaskKey) -> LossCount {
-    let progress = stage.book.get(key.job).and_then(|job| job.progress.clone());
+fn told_losses(sim: &SchedulerSim, key: TaskKey) -> LossCount {
+    let progress = sim.book.get(key.job).and_then(|job| job.progress.clone());
     let setbacks = progress.map(|progress| progress.restarts.clone()).unwrap_or_default();
     let told = setbacks.iter().find(|told| (told.step, told.index) == (key.step, key.index));
     told.map(|told| told.losses).unwrap_or_default()
 }
 
 /// A job whose first task crashes its workers, handed in to a stage that it may take down.
-fn submit_bad(stage: &mut Stage, id: u64, spec: JobSpec) -> JobId {
-    stage.crashers.insert(task(job_id(id), 0, 0));
-    stage.submit(id, spec)
+fn submit_bad(sim: &mut SchedulerSim, id: u64, spec: JobSpec) -> JobId {
+    sim.crashing_tasks.insert(task(job_id(id), 0, 0));
+    sim.submit(id, spec)
 }
 
 /// The leader dies after each loss that it has learned of, so that no leader ever sees a second one. The count
@@ -103,56 +105,56 @@
 /// seen the start can't tell that the task was just starting, so only the bound holds.
 #[test]
 fn leaders_that_change_after_each_loss_forget_none() {
-    let mut stage = four_workers();
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
+    let mut sim = four_workers();
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     let mut term = 1;
     for _ in 0..60 {
-        let lost = stage.lost.len();
-        stage.advance(500);
-        if stage.lost.len() > lost {
+        let lost = sim.lost.len();
+        sim.advance(500);
+        if sim.lost.len() > lost {
             term += 1;
-            stage.take_over(term, config());
+            sim.take_over(term, config());
         }
     }
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= BOUND, "{} workers were lost", stage.lost.len());
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
 }
 
 /// Two leaders take over within a second while the third start of a task that crashes its workers may be on
 /// its way. Neither has seen the start; the run is on the log, and its worker's end counts for both.
 #[test]
 fn two_leaders_within_a_second_cost_no_more_workers_than_the_bound() {
-    let mut stage = four_workers();
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
+    let mut sim = four_workers();
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     for term in 2..40 {
-        stage.take_over(2 * term, config());
-        stage.advance(300);
-        stage.take_over(2 * term + 1, config());
-        stage.advance(700);
+        sim.take_over(2 * term, config());
+        sim.advance(300);
+        sim.take_over(2 * term + 1, config());
+        sim.advance(700);
     }
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= BOUND, "{} workers were lost", stage.lost.len());
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
 }
 
 /// The news of one lost worker comes by a start that another life refuses, by a renewal, by the VM list and
 /// by the end of its entry, and some of it twice. Callers' jobs that were there are charged with one loss.
 #[test]
 fn the_same_loss_by_several_ways_counts_once() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    stage.advance(20);
+    sim.advance(20);
     let gone: Arc<str> = "w1".into();
     let refusal = CommandOutcome::Refused(CommandRefusal::WrongIncarnation, None);
-    stage.scheduler.handle_start_outcome(&gone, &key, 1, &refusal, stage.now);
-    stage.crash("w1");
-    stage.scheduler.handle_stop_outcome(&gone, &key, 1, &refusal, stage.now);
-    stage.scheduler.worker_unlisted(&gone, stage.now);
-    stage.scheduler.worker_seen(worker("w1", "r1"), stage.now);
-    stage.scheduler.worker_unlisted(&gone, stage.now);
-    stage.advance(1_000);
+    sim.scheduler.handle_start_outcome(&gone, &key, 1, &refusal, sim.now);
+    sim.crash("w1");
+    sim.scheduler.handle_stop_outcome(&gone, &key, 1, &refusal, sim.now);
+    sim.scheduler.worker_unlisted(&gone, sim.now);
+    sim.scheduler.worker_seen(worker("w1", "r1"), sim.now);
+    sim.scheduler.worker_unlisted(&gone, sim.now);
+    sim.advance(1_000);
 
-    assert_eq!(told_losses(&stage, key), LossCount { total: 1, at_start: 1 });
+    assert_eq!(told_losses(&sim, key), LossCount { total: 1, at_start: 1 });
 }
 
 /// A worker is cut off for so long that its leases run out; the tasks start elsewhere, and what is known then
@@ -160,42 +162,42 @@
 /// nearer to being given up.
 #[test]
 fn a_worker_that_answers_again_was_not_lost() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let place = stage.place(key);
-    stage.workers.get_mut(&place).expect("known").is_silent = true;
-    stage.advance(8_000);
-    assert_eq!(stage.starts(key), 2);
-    assert_eq!(told_losses(&stage, key).total, 1);
+    let place = sim.place(key);
+    sim.workers.get_mut(&place).expect("known").is_silent = true;
+    sim.advance(8_000);
+    assert_eq!(sim.starts(key), 2);
+    assert_eq!(told_losses(&sim, key).total, 1);
 
-    stage.workers.get_mut(&place).expect("known").is_silent = false;
-    stage.advance(1_000);
-    assert_eq!(told_losses(&stage, key), LossCount::default());
+    sim.workers.get_mut(&place).expect("known").is_silent = false;
+    sim.advance(1_000);
+    assert_eq!(told_losses(&sim, key), LossCount::default());
 }
 
 /// The VM list is away and the log shows no end of an entry, so that crashes are learned of only when leases
 /// have run out, seconds late. The bound holds all the same.
 #[test]
 fn losses_that_are_learned_of_late_count_too() {
-    let mut stage = four_workers();
-    stage.rebirth_ms = 20_000;
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
-    stage.advance(120_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.starts(task(bad, 0, 0)) <= BOUND, "{}", stage.starts(task(bad, 0, 0)));
+    let mut sim = four_workers();
+    sim.restart_ms = 20_000;
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    sim.advance(120_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.starts(task(bad, 0, 0)) <= BOUND, "{}", sim.starts(task(bad, 0, 0)));
 }
 
 /// The start's answer never comes: the worker is gone before it. The next start is sent only when that
 /// worker's end is known, and both are counted.
 #[test]
 fn a_start_without_an_answer_counts_as_well() {
-    let mut stage = four_workers();
-    stage.answers_before_crash = false;
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
-    stage.advance(30_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", stage.lost.len());
+    let mut sim = four_workers();
+    sim.is_start_answered = false;
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    sim.advance(30_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
 /// A task crashes its workers 700 ms after its start, when it has long been told of as at work. Nothing names
@@ -203,14 +205,14 @@
 /// nobody else is, as it is alone on probation before the last of them.
 #[test]
 fn a_task_that_crashes_its_workers_later_is_bounded_too() {
-    let mut stage = four_workers();
-    stage.crash_after_ms = 700;
-    let others: Vec<JobId> = (2..=6).map(|n| stage.submit(n, job(vec![step(4)]))).collect();
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
-    work(&mut stage, 60_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= BOUND, "{} workers were lost", stage.lost.len());
-    assert!(are_completed(&stage, &others));
+    let mut sim = four_workers();
+    sim.crash_after_ms = 700;
+    let others: Vec<JobId> = (2..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    work(&mut sim, 60_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
+    assert!(are_completed(&sim, &others));
 }
 
 /// Tasks that last may fail as often as they like, but not take one worker after the other: the same bound
@@ -218,12 +220,12 @@
 #[test]
 fn tasks_that_last_and_best_effort_tasks_have_the_same_bound() {
     for is_best_effort in [false, true] {
-        let mut stage = four_workers();
+        let mut sim = four_workers();
         let lasting = StepSpec { is_best_effort, ..service_step(2) };
-        let bad = submit_bad(&mut stage, 1, job(vec![lasting]));
-        stage.advance(30_000);
-        assert_eq!(stage.state(bad), Some(JobState::Failed));
-        assert!(stage.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", stage.lost.len());
+        let bad = submit_bad(&mut sim, 1, job(vec![lasting]));
+        sim.advance(30_000);
+        assert_eq!(sim.state(bad), Some(JobState::Failed));
+        assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
     }
 }
 
@@ -231,76 +233,76 @@
 /// up as soon as a task would be.
 #[test]
 fn a_gang_with_such_a_member_has_the_same_bound() {
-    let mut stage = four_workers();
+    let mut sim = four_workers();
     let gang = StepSpec { is_gang: true, per_worker_max: 1, ..step(3) };
-    let bad = submit_bad(&mut stage, 1, job(vec![gang]));
-    stage.advance(30_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", stage.lost.len());
+    let bad = submit_bad(&mut sim, 1, job(vec![gang]));
+    sim.advance(30_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
 /// The task is in a second step, which begins when the first is done.
 #[test]
 fn a_later_step_has_the_same_bound() {
-    let mut stage = four_workers();
-    stage.crashers.insert(task(job_id(1), 1, 0));
+    let mut sim = four_workers();
+    sim.crashing_tasks.insert(task(job_id(1), 1, 0));
     let second = StepSpec { after: vec![0], ..step(2) };
-    let bad = stage.submit(1, job(vec![step(2), second]));
-    work(&mut stage, 20_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", stage.lost.len());
+    let bad = sim.submit(1, job(vec![step(2), second]));
+    work(&mut sim, 20_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
 /// The caller of a job that was given up tries again under the same key, at another entry. It gets the answer
 /// that stands: failed. Nothing starts again, also under the next leader.
 #[test]
 fn a_retry_of_a_job_that_was_given_up_starts_nothing() {
-    let mut stage = four_workers();
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
-    stage.advance(10_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    let starts = stage.starts(task(bad, 0, 0));
+    let mut sim = four_workers();
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    sim.advance(10_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    let starts = sim.starts(task(bad, 0, 0));
     let record = JobRecord::Submitted(bad, Arc::new(submission(job(vec![step(1)]))));
-    stage.scheduler.take_record(&record, stage.now);
-    stage.append(&record);
-    stage.take_over(2, config());
-    stage.advance(10_000);
+    sim.scheduler.apply_record(&record, sim.now);
+    sim.append(&record);
+    sim.take_over(2, config());
+    sim.advance(10_000);
 
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert_eq!(stage.starts(task(bad, 0, 0)), starts);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.starts(task(bad, 0, 0)), starts);
 }
 
 /// A rack loses power again and again, with all that runs there. Nothing that ran there is to blame: every
 /// caller's job is served, however often its tasks were just starting.
 #[test]
 fn racks_that_fail_name_nobody() {
-    let mut stage = four_workers();
+    let mut sim = four_workers();
     let mut ids = Vec::new();
     for round in 0..8 {
         let now = round * 6;
-        ids.extend((now..now + 6).map(|n| stage.submit(n + 1, job(vec![step(4)]))));
-        work(&mut stage, 300);
-        let racks = stage.workers.keys().filter(|id| id.starts_with(['w']));
+        ids.extend((now..now + 6).map(|n| sim.submit(n + 1, job(vec![step(4)]))));
+        work(&mut sim, 300);
+        let racks = sim.workers.keys().filter(|id| id.starts_with(['w']));
         let rack: Vec<Arc<str>> =
             racks.filter(|id| id.starts_with("w1") || id.starts_with("w3")).cloned().collect();
-        stage.crash_all(&rack.iter().map(|id| &**id).collect::<Vec<_>>());
-        work(&mut stage, 2_000);
+        sim.crash_all(&rack.iter().map(|id| &**id).collect::<Vec<_>>());
+        work(&mut sim, 2_000);
     }
-    work(&mut stage, 20_000);
-    assert!(are_completed(&stage, &ids));
+    work(&mut sim, 20_000);
+    assert!(are_completed(&sim, &ids));
 }
 
 /// Suspects wait for a worker of their own, and half of the pool is kept for the rest: a caller whose job has
 /// nothing to do with it gets its start at once.
 #[test]
 fn a_suspect_on_probation_leaves_room_for_the_rest_of_the_pool() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let many: Vec<JobId> = (1..=3).map(|n| stage.submit(n, job(vec![step(1)]))).collect();
-    stage.crash_all(&["w1", "w2"]);
-    let rest = stage.submit(9, job(vec![step(1)]));
-    assert_eq!(stage.starts(task(rest, 0, 0)), 1);
-    work(&mut stage, 5_000);
-    assert!(are_completed(&stage, &many) && are_completed(&stage, &[rest]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    let many: Vec<JobId> = (1..=3).map(|n| sim.submit(n, job(vec![step(1)]))).collect();
+    sim.crash_all(&["w1", "w2"]);
+    let rest = sim.submit(9, job(vec![step(1)]));
+    assert_eq!(sim.starts(task(rest, 0, 0)), 1);
+    work(&mut sim, 5_000);
+    assert!(are_completed(&sim, &many) && are_completed(&sim, &[rest]));
 }
 
 /// Two workers crash; a second later two more, one of them just as it starts, on probation, a task that the
@@ -311,24 +313,24 @@
 fn failures_that_follow_each_other_take_no_job_along() {
     for second_ms in [0, 260] {
         let pool = (1..=6).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 3)));
-        let mut stage = Stage::open(config(), pool.collect());
-        let many: Vec<JobId> = (1..=4).map(|n| stage.submit(n, job(vec![step(4)]))).collect();
+        let mut sim = SchedulerSim::open(config(), pool.collect());
+        let many: Vec<JobId> = (1..=4).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
         let key = task(many[0], 0, 0);
-        let first = stage.place(key);
-        stage.crash(&first);
-        stage.advance(20);
-        let second = stage.place(key);
+        let first = sim.place(key);
+        sim.crash(&first);
+        sim.advance(20);
+        let second = sim.place(key);
         assert_ne!(first, second);
-        let other = stage.workers.iter().find(|(id, w)| **id != second && !w.running.is_empty());
+        let other = sim.workers.iter().find(|(id, w)| **id != second && !w.running.is_empty());
         let other = other.expect("another that is at work").0.clone();
         for id in [&second, &other] {
-            stage.workers.get_mut(id).expect("known").is_silent = true;
+            sim.workers.get_mut(id).expect("known").is_silent = true;
         }
-        stage.crash(&second);
-        stage.advance(second_ms);
-        stage.crash(&other);
-        work(&mut stage, 10_000);
-        assert!(are_completed(&stage, &many), "second news after {second_ms} ms");
+        sim.crash(&second);
+        sim.advance(second_ms);
+        sim.crash(&other);
+        work(&mut sim, 10_000);
+        assert!(are_completed(&sim, &many), "second news after {second_ms} ms");
     }
 }
 
@@ -337,23 +339,23 @@
 /// and the caller's job is served by the fourth.
 #[test]
 fn workers_that_die_before_the_start_is_sent_count_for_nothing() {
-    let mut stage = four_workers();
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = four_workers();
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let first = stage.place(key);
-    let idle: Vec<Arc<str>> = stage.workers.keys().filter(|id| **id != first).cloned().collect();
+    let first = sim.place(key);
+    let idle: Vec<Arc<str>> = sim.workers.keys().filter(|id| **id != first).cloned().collect();
     for id in &idle {
-        stage.workers.get_mut(id).expect("known").is_silent = true;
+        sim.workers.get_mut(id).expect("known").is_silent = true;
     }
-    stage.crash(&first);
+    sim.crash(&first);
     for id in &idle {
-        stage.advance(100);
-        stage.crash(id);
+        sim.advance(100);
+        sim.crash(id);
     }
-    assert_eq!(told_losses(&stage, key), LossCount { total: 1, at_start: 1 });
-    work(&mut stage, 5_000);
-    assert_eq!(stage.starts(key), 2, "the one that was lost and the one that is done");
-    assert!(are_completed(&stage, &[id]));
+    assert_eq!(told_losses(&sim, key), LossCount { total: 1, at_start: 1 });
+    work(&mut sim, 5_000);
+    assert_eq!(sim.starts(key), 2, "the one that was lost and the one that is done");
+    assert!(are_completed(&sim, &[id]));
 }
 
 /// The queue's policy allows the step on two workers of four only. The bound is the same.
@@ -362,63 +364,63 @@
     let mut config = config();
     config.queues[0].permits = Some(PermitPolicy { call_ms: 5, worker_ms: 1, valid_ms: 60_000 });
     let pool = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 2))).collect();
-    let mut stage = Stage::open(config, pool);
-    let bad = submit_bad(&mut stage, 1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config, pool);
+    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     for _ in 0..100 {
-        stage.advance(500);
-        for (step, workers) in std::mem::take(&mut stage.permits_asked) {
+        sim.advance(500);
+        for (step, workers) in std::mem::take(&mut sim.permits_asked) {
             let allowed = workers.iter().take(2).map(|id| (id.clone(), "permit".into())).collect();
             let grant = PermitGrant { allowed, valid_ms: 1_000 };
-            stage.scheduler.take_permits(step, Some(grant), stage.now);
+            sim.scheduler.update_permits(step, Some(grant), sim.now);
         }
     }
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= BOUND, "{} workers were lost", stage.lost.len());
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
 }
 
 /// The next start waits in its lane, or in another entry's hands, when the last loss is learned of and the job is
 /// given up. It must not go out any more.
 #[test]
 fn a_start_in_hand_does_not_go_out_once_its_job_is_given_up() {
-    let mut stage = four_workers();
-    let bad = submit_bad(&mut stage, 1, job(vec![step(2)]));
+    let mut sim = four_workers();
+    let bad = submit_bad(&mut sim, 1, job(vec![step(2)]));
     let other = task(bad, 0, 1);
-    while stage.state(bad) != Some(JobState::Failed) {
-        stage.lane_is_slow = stage.lost.len() == WORKERS_LOST_MAX;
-        stage.advance(100);
+    while sim.state(bad) != Some(JobState::Failed) {
+        sim.is_lane_held = sim.lost.len() == WORKERS_LOST_MAX;
+        sim.advance(100);
     }
-    let starts = (stage.starts(task(bad, 0, 0)), stage.starts(other));
-    stage.empty_lanes();
-    stage.advance(2_000);
-    assert_eq!((stage.starts(task(bad, 0, 0)), stage.starts(other)), starts);
+    let starts = (sim.starts(task(bad, 0, 0)), sim.starts(other));
+    sim.empty_lanes();
+    sim.advance(2_000);
+    assert_eq!((sim.starts(task(bad, 0, 0)), sim.starts(other)), starts);
 }
 
 /// No executor could take a start, and the worker that it was for is lost before it is sent another way. It was
 /// lost under nothing.
 #[test]
 fn a_start_that_nobody_could_take_counts_for_nothing() {
-    let mut stage = four_workers();
-    stage.lane_is_slow = true;
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = four_workers();
+    sim.is_lane_held = true;
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    assert!(stage.scheduler.command(&key, 1, stage.now).is_some());
-    stage.scheduler.start_not_sent(&key, 1, stage.now);
+    assert!(sim.scheduler.command(&key, 1, sim.now).is_some());
+    sim.scheduler.start_not_sent(&key, 1, sim.now);
     let places = ["w1", "w2", "w3", "w4"];
-    let place = places.iter().find(|place| stage.scheduled_on(place) > 0).expect("it is placed");
-    stage.crash(place);
-    assert_eq!(told_losses(&stage, key), LossCount::default());
-    stage.lane_is_slow = false;
-    work(&mut stage, 3_000);
-    assert!(are_completed(&stage, &[id]));
+    let place = places.iter().find(|place| sim.scheduled_on(place) > 0).expect("it is placed");
+    sim.crash(place);
+    assert_eq!(told_losses(&sim, key), LossCount::default());
+    sim.is_lane_held = false;
+    work(&mut sim, 3_000);
+    assert!(are_completed(&sim, &[id]));
 }
 
 /// Lets time pass until a task is started anew.
-fn until_restarted(stage: &mut Stage, key: TaskKey, starts: usize) {
+fn until_restarted(sim: &mut SchedulerSim, key: TaskKey, starts: usize) {
     for _ in 0..200 {
-        if stage.starts(key) > starts {
+        if sim.starts(key) > starts {
             return;
         }
-        stage.advance(20);
+        sim.advance(20);
     }
 }
 
@@ -427,47 +429,47 @@
 #[test]
 fn a_third_loss_that_strikes_another_worker_too_names_nobody() {
     let pool = (1..=6).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
-    let mut stage = Stage::open(config(), pool);
-    let rest = stage.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(6) }]));
-    stage.advance(100);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), pool);
+    let rest = sim.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(6) }]));
+    sim.advance(100);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for starts in 1..=2 {
-        stage.crash(&stage.place(key));
-        until_restarted(&mut stage, key, starts);
+        sim.crash(&sim.place(key));
+        until_restarted(&mut sim, key, starts);
     }
-    let third = stage.place(key);
-    let other = stage.workers.keys().find(|id| **id != third && !id.contains('-')).cloned();
-    stage.crash_all(&[&third, &other.expect("one that was never lost")]);
-    work(&mut stage, 5_000);
-    assert!(are_completed(&stage, &[id, rest]));
+    let third = sim.place(key);
+    let other = sim.workers.keys().find(|id| **id != third && !id.contains('-')).cloned();
+    sim.crash_all(&[&third, &other.expect("one that was never lost")]);
+    work(&mut sim, 5_000);
+    assert!(are_completed(&sim, &[id, rest]));
 }
 
 /// The only VM of a pool goes down and up by turns, three times just as a task starts. The VM is no witness: the
 /// caller's job must be served.
 #[test]
 fn a_vm_that_goes_down_and_up_names_nobody() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for starts in 1..=3 {
-        stage.crash(&stage.place(key));
-        until_restarted(&mut stage, key, starts);
+        sim.crash(&sim.place(key));
+        until_restarted(&mut sim, key, starts);
     }
-    work(&mut stage, 5_000);
-    assert!(are_completed(&stage, &[id]));
+    work(&mut sim, 5_000);
+    assert!(are_completed(&sim, &[id]));
 }
 
 /// A suspect has just begun on a worker. Another caller's task is not put beside it, though that worker is the
 /// fuller one: if it goes, only the suspect goes with it.
 #[test]
 fn nothing_starts_beside_a_suspect_on_probation() {
-    let mut stage = four_workers();
-    let suspect = task(stage.submit(1, job(vec![step(1)])), 0, 0);
-    stage.crash(&stage.place(suspect));
-    until_restarted(&mut stage, suspect, 1);
-    let other = task(stage.submit(2, job(vec![step(1)])), 0, 0);
-    assert_ne!(stage.place(other), stage.place(suspect));
+    let mut sim = four_workers();
+    let suspect = task(sim.submit(1, job(vec![step(1)])), 0, 0);
+    sim.crash(&sim.place(suspect));
+    until_restarted(&mut sim, suspect, 1);
+    let other = task(sim.submit(2, job(vec![step(1)])), 0, 0);
+    assert_ne!(sim.place(other), sim.place(suspect));
 }
 
 /// The VM of a worker: what its lives have in common.
@@ -478,15 +480,15 @@
 /// Guards against a task that goes back to a VM that goes down and up by turns, until it is given up for it.
 #[test]
 fn a_task_that_has_lost_workers_goes_to_a_steady_vm() {
-    let mut stage = four_workers();
-    let key = task(stage.submit(1, job(vec![step(1)])), 0, 0);
+    let mut sim = four_workers();
+    let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     let mut vms = Vec::new();
     for _ in 0..3 {
-        stage.advance(500);
-        let place = stage.place(key);
+        sim.advance(500);
+        let place = sim.place(key);
         vms.push(vm_of(&place).to_owned());
-        stage.crash(&place);
-        stage.advance(2_000);
+        sim.crash(&place);
+        sim.advance(2_000);
     }
     vms.sort();
     vms.dedup();
@@ -496,272 +498,272 @@
 /// Guards against a start by the next leader of a task whose last loss its predecessor was still weighing.
 #[test]
 fn a_task_that_has_lost_too_many_workers_is_given_up_by_the_next_leader() {
-    let mut stage = four_workers();
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = four_workers();
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for _ in 0..BOUND {
-        stage.advance(2_500);
-        let place = stage.place(key);
-        stage.crash(&place);
+        sim.advance(2_500);
+        let place = sim.place(key);
+        sim.crash(&place);
     }
-    assert_eq!(told_losses(&stage, key).total, 5);
-    assert_eq!(stage.state(id), Some(JobState::Running), "the verdict waits");
-    stage.take_over(2, config());
-    stage.advance(3_000);
-    assert_eq!((stage.starts(key), stage.state(id)), (BOUND, Some(JobState::Failed)));
+    assert_eq!(told_losses(&sim, key).total, 5);
+    assert_eq!(sim.state(id), Some(JobState::Running), "the verdict waits");
+    sim.take_over(2, config());
+    sim.advance(3_000);
+    assert_eq!((sim.starts(key), sim.state(id)), (BOUND, Some(JobState::Failed)));
 }
 
 /// A task that has lost three workers, each a while after its start; the last one together with a worker that
 /// ran nothing of its job.
-fn on_trial(stage: &mut Stage) -> TaskKey {
+fn on_trial(sim: &mut SchedulerSim) -> TaskKey {
     let rest = StepSpec { per_worker_max: 1, ..step(4) };
-    stage.submit(2, job(vec![rest]));
-    let key = task(stage.submit(1, job(vec![step(1)])), 0, 0);
+    sim.submit(2, job(vec![rest]));
+    let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     for _ in 0..2 {
-        stage.advance(500);
-        stage.crash(&stage.place(key));
+        sim.advance(500);
+        sim.crash(&sim.place(key));
     }
-    stage.advance(500);
-    let place = stage.place(key);
-    let other = stage.workers.keys().find(|id| **id != place).cloned().expect("another");
-    stage.crash_all(&[&place, &other]);
-    assert_eq!(told_losses(stage, key).total, 3);
+    sim.advance(500);
+    let place = sim.place(key);
+    let other = sim.workers.keys().find(|id| **id != place).cloned().expect("another");
+    sim.crash_all(&[&place, &other]);
+    assert_eq!(told_losses(sim, key).total, 3);
     key
 }
 
 /// Guards against a start that would decide on a task while its pool loses workers of other causes.
 #[test]
 fn a_task_on_trial_waits_until_its_pool_is_calm() {
-    let mut stage = four_workers();
-    let key = on_trial(&mut stage);
-    stage.advance(2_000);
-    assert_eq!(stage.starts(key), 3, "it waits");
-    stage.advance(3_000);
-    assert_eq!(stage.starts(key), 4);
+    let mut sim = four_workers();
+    let key = on_trial(&mut sim);
+    sim.advance(2_000);
+    assert_eq!(sim.starts(key), 3, "it waits");
+    sim.advance(3_000);
+    assert_eq!(sim.starts(key), 4);
 }
 
 /// Guards against a successor that takes any pool for calm, as it has seen no loss in it.
 #[test]
 fn a_task_on_trial_waits_under_the_next_leader_too() {
-    let mut stage = four_workers();
-    let key = on_trial(&mut stage);
-    stage.advance(100);
-    stage.take_over(2, config());
-    stage.advance(2_000);
-    assert_eq!(stage.starts(key), 3, "it waits");
-    stage.advance(3_000);
-    assert_eq!(stage.starts(key), 4);
+    let mut sim = four_workers();
+    let key = on_trial(&mut sim);
+    sim.advance(100);
+    sim.take_over(2, config());
+    sim.advance(2_000);
+    assert_eq!(sim.starts(key), 3, "it waits");
+    sim.advance(3_000);
+    assert_eq!(sim.starts(key), 4);
 }
 
 /// A task that has lost three workers, the last one together with another on which something was just starting.
-fn on_trial_beside_starts(stage: &mut Stage, are_restarts_instant: bool) -> TaskKey {
-    let key = task(stage.submit(1, job(vec![step(1)])), 0, 0);
+fn on_trial_beside_starts(sim: &mut SchedulerSim, are_restarts_instant: bool) -> TaskKey {
+    let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     for _ in 0..2 {
-        stage.advance(500);
-        stage.crash(&stage.place(key));
+        sim.advance(500);
+        sim.crash(&sim.place(key));
     }
-    stage.advance(500);
-    let place = stage.place(key);
-    stage.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
+    sim.advance(500);
+    let place = sim.place(key);
+    sim.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
     if are_restarts_instant {
-        stage.instant_tasks.extend((0..4).map(|index| task(job_id(2), 0, index)));
+        sim.instant_tasks.extend((0..4).map(|index| task(job_id(2), 0, index)));
     }
-    let other = stage.workers.keys().find(|id| **id != place).cloned().expect("another");
-    stage.crash_all(&[&place, &other]);
-    assert_eq!(told_losses(stage, key).total, 3);
+    let other = sim.workers.keys().find(|id| **id != place).cloned().expect("another");
+    sim.crash_all(&[&place, &other]);
+    assert_eq!(told_losses(sim, key).total, 3);
     key
 }
 
 /// Guards against a loss that stays explained by a start, as its task is done sooner than it can be seen at work.
 #[test]
 fn a_task_that_is_done_at_once_explains_no_loss() {
-    let mut stage = four_workers();
-    let key = on_trial_beside_starts(&mut stage, true);
-    stage.advance(2_500);
-    assert_eq!(stage.starts(key), 3, "it waits");
+    let mut sim = four_workers();
+    let key = on_trial_beside_starts(&mut sim, true);
+    sim.advance(2_500);
+    assert_eq!(sim.starts(key), 3, "it waits");
 }
 
 /// Guards against a start in a pool whose losses are explained by starts that are about to be outlived.
 #[test]
 fn a_task_on_trial_waits_until_starts_are_outlived() {
-    let mut stage = four_workers();
-    let key = on_trial_beside_starts(&mut stage, false);
-    stage.advance(2_500);
-    assert_eq!(stage.starts(key), 3, "it waits");
-    stage.advance(2_500);
-    assert_eq!(stage.starts(key), 4);
+    let mut sim = four_workers();
+    let key = on_trial_beside_starts(&mut sim, false);
+    sim.advance(2_500);
+    assert_eq!(sim.starts(key), 3, "it waits");
+    sim.advance(2_500);
+    assert_eq!(sim.starts(key), 4);
 }
 
 /// Guards against a successor that takes a pool for calm, as its losses were explained when they were written down.
 #[test]
 fn a_loss_that_a_start_explains_no_longer_is_told_to_the_next_leader() {
-    let mut stage = four_workers();
-    let key = on_trial_beside_starts(&mut stage, false);
-    stage.advance(500);
-    stage.take_over(2, config());
-    stage.advance(2_000);
-    assert_eq!(stage.starts(key), 3, "it waits");
-    stage.advance(3_000);
-    assert_eq!(stage.starts(key), 4);
+    let mut sim = four_workers();
+    let key = on_trial_beside_starts(&mut sim, false);
+    sim.advance(500);
+    sim.take_over(2, config());
+    sim.advance(2_000);
+    assert_eq!(sim.starts(key), 3, "it waits");
+    sim.advance(3_000);
+    assert_eq!(sim.starts(key), 4);
 }
 
 /// Guards against a task on trial that waits for tasks which crash their workers as they start.
 #[test]
 fn a_task_on_trial_does_not_wait_for_losses_that_a_start_explains() {
-    let mut stage = four_workers();
-    let key = task(stage.submit(1, job(vec![step(1)])), 0, 0);
+    let mut sim = four_workers();
+    let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     for _ in 0..3 {
-        stage.advance(70_000);
-        stage.crash(&stage.place(key));
+        sim.advance(70_000);
+        sim.crash(&sim.place(key));
     }
-    assert_eq!((told_losses(&stage, key).total, stage.alive(key)), (3, 0));
-    stage.advance(1_600);
-    submit_bad(&mut stage, 2, job(vec![step(1)]));
-    stage.advance(900);
-    assert!(stage.lost.len() > 3, "the bad task has crashed a worker");
-    assert_eq!(stage.alive(key), 1);
+    assert_eq!((told_losses(&sim, key).total, sim.alive(key)), (3, 0));
+    sim.advance(1_600);
+    submit_bad(&mut sim, 2, job(vec![step(1)]));
+    sim.advance(900);
+    assert!(sim.lost.len() > 3, "the bad task has crashed a worker");
+    assert_eq!(sim.alive(key), 1);
 }
 
 /// Guards against a pool that is taken for calm as a task was on each worker that it lost, by chance.
 #[test]
 fn a_pool_is_watched_without_a_task_on_trial() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let key = task(stage.submit(1, job(vec![step(1)])), 0, 0);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     for _ in 0..3 {
-        stage.advance(500);
-        stage.crash(&stage.place(key));
+        sim.advance(500);
+        sim.crash(&sim.place(key));
     }
-    stage.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(2) }]));
-    stage.advance(1_000);
-    assert_eq!(stage.starts(key), 3, "it waits");
-    stage.crash(&stage.workers.keys().next().cloned().expect("one"));
-    stage.advance(4_000);
-    assert_eq!(stage.starts(key), 3, "the pool goes on losing workers");
-    stage.advance(3_000);
-    assert_eq!(stage.starts(key), 4);
+    sim.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(2) }]));
+    sim.advance(1_000);
+    assert_eq!(sim.starts(key), 3, "it waits");
+    sim.crash(&sim.workers.keys().next().cloned().expect("one"));
+    sim.advance(4_000);
+    assert_eq!(sim.starts(key), 3, "the pool goes on losing workers");
+    sim.advance(3_000);
+    assert_eq!(sim.starts(key), 4);
 }
 
 /// Guards against a job that never ends, as its pool loses workers for as long as it waits.
 #[test]
 fn a_task_on_trial_does_not_wait_for_ever() {
-    let mut stage = four_workers();
-    let key = on_trial(&mut stage);
+    let mut sim = four_workers();
+    let key = on_trial(&mut sim);
     for _ in 0..20 {
-        stage.advance(1_000);
-        let place = stage.place(key);
-        let other = stage.workers.keys().find(|id| **id != place).cloned().expect("another");
-        stage.crash(&other);
+        sim.advance(1_000);
+        let place = sim.place(key);
+        let other = sim.workers.keys().find(|id| **id != place).cloned().expect("another");
+        sim.crash(&other);
     }
-    assert!(stage.starts(key) > 3);
+    assert!(sim.starts(key) > 3);
 }
 
 /// Guards against a wide job that takes any pool for calm, as one of its tasks was on every VM that went.
 #[test]
 fn a_task_of_a_wide_job_waits_on_trial_too() {
-    let mut stage = four_workers();
-    let id = stage.submit(1, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
+    let mut sim = four_workers();
+    let id = sim.submit(1, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
     for _ in 0..3 {
-        stage.advance(500);
-        let all: Vec<Arc<str>> = stage.workers.keys().cloned().collect();
-        stage.crash_all(&all.iter().map(|id| &**id).collect::<Vec<_>>());
+        sim.advance(500);
+        let all: Vec<Arc<str>> = sim.workers.keys().cloned().collect();
+        sim.crash_all(&all.iter().map(|id| &**id).collect::<Vec<_>>());
     }
-    assert_eq!(told_losses(&stage, task(id, 0, 0)).total, 3);
-    stage.advance(2_000);
-    let starts: Vec<usize> = (0..4).map(|index| stage.starts(task(id, 0, index))).collect();
+    assert_eq!(told_losses(&sim, task(id, 0, 0)).total, 3);
+    sim.advance(2_000);
+    let starts: Vec<usize> = (0..4).map(|index| sim.starts(task(id, 0, index))).collect();
     assert_eq!(starts, vec![3; 4]);
 }
 
 /// Guards against a start that is counted as lost once for each life of its worker that it is carried over to.
 #[test]
 fn a_start_that_is_carried_over_counts_one_loss() {
-    let mut stage = Stage::open_born(config(), vec![worker("w1", "r1")]);
-    let first = stage.workers.keys().next().cloned().expect("one");
-    stage.workers.get_mut(&first).expect("known").is_late = true;
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.mutes_renewals = true;
+    let mut sim = SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")]);
+    let first = sim.workers.keys().next().cloned().expect("one");
+    sim.workers.get_mut(&first).expect("known").is_late = true;
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.are_renewals_muted = true;
     for _ in 0..6 {
-        stage.advance(60);
-        let present = stage.workers.keys().next().cloned().expect("one");
-        stage.begin_anew(&present);
-        stage.show_rebirths();
+        sim.advance(60);
+        let present = sim.workers.keys().next().cloned().expect("one");
+        sim.restart_worker(&present);
+        sim.show_restarts();
     }
-    assert_eq!(told_losses(&stage, task(id, 0, 0)).total, 1);
+    assert_eq!(told_losses(&sim, task(id, 0, 0)).total, 1);
 }
 
 /// Guards against a neighbour that is given up for a loss of which another task is convicted in the same moment.
 #[test]
 fn a_conviction_comes_before_the_verdicts_on_its_neighbours() {
     let pool = (1..=3).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
-    let mut stage = Stage::open(config(), pool);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), pool);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for _ in 0..3 {
-        stage.advance(70_000);
-        stage.crash(&stage.place(key));
+        sim.advance(70_000);
+        sim.crash(&sim.place(key));
     }
-    stage.advance(70_000);
-    assert_eq!((told_losses(&stage, key).total, stage.alive(key)), (3, 1));
-    let bad = submit_bad(&mut stage, 2, job(vec![step(1)]));
-    stage.advance(20_000);
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert_eq!(stage.state(id), Some(JobState::Running));
+    sim.advance(70_000);
+    assert_eq!((told_losses(&sim, key).total, sim.alive(key)), (3, 1));
+    let bad = submit_bad(&mut sim, 2, job(vec![step(1)]));
+    sim.advance(20_000);
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
 /// Guards against a suspect that is blamed for an idle worker which had died before: its start must wait until the worker
 /// has answered.
 #[test]
 fn a_suspect_is_not_sent_to_a_worker_that_has_not_answered_since() {
-    let mut stage = four_workers();
+    let mut sim = four_workers();
     // All workers have been idle for a while.
-    stage.advance(1_000);
-    let id = stage.submit(1, job(vec![step(1)]));
+    sim.advance(1_000);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let first = stage.place(key);
-    let idle: Vec<Arc<str>> = stage.workers.keys().filter(|id| **id != first).cloned().collect();
+    let first = sim.place(key);
+    let idle: Vec<Arc<str>> = sim.workers.keys().filter(|id| **id != first).cloned().collect();
     for id in &idle {
-        stage.workers.get_mut(id).expect("known").is_silent = true;
+        sim.workers.get_mut(id).expect("known").is_silent = true;
     }
-    stage.mutes_renewals = true;
-    stage.crash(&first);
-    stage.advance(200);
-    stage.mutes_renewals = false;
-    stage.advance(200);
+    sim.are_renewals_muted = true;
+    sim.crash(&first);
+    sim.advance(200);
+    sim.are_renewals_muted = false;
+    sim.advance(200);
     for id in &idle {
-        stage.crash(id);
+        sim.crash(id);
     }
-    assert_eq!(told_losses(&stage, key), LossCount { total: 1, at_start: 1 });
-    work(&mut stage, 5_000);
-    assert!(are_completed(&stage, &[id]));
+    assert_eq!(told_losses(&sim, key), LossCount { total: 1, at_start: 1 });
+    work(&mut sim, 5_000);
+    assert!(are_completed(&sim, &[id]));
 }
 
 /// Guards against a suspect whose worker's loss tells nothing, as another task was just starting beside it: neither could
 /// be named, and both would be suspected.
 #[test]
 fn a_suspect_waits_until_what_starts_beside_it_is_at_work() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let suspect = task(stage.submit(1, job(vec![step(1)])), 0, 0);
-    let place = stage.place(suspect);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    let suspect = task(sim.submit(1, job(vec![step(1)])), 0, 0);
+    let place = sim.place(suspect);
     let spread = StepSpec { per_worker_max: 1, ..step(2) };
-    let beside = stage.submit(2, job(vec![spread]));
-    assert_eq!(stage.alive(task(beside, 0, 0)) + stage.alive(task(beside, 0, 1)), 2);
+    let beside = sim.submit(2, job(vec![spread]));
+    assert_eq!(sim.alive(task(beside, 0, 0)) + sim.alive(task(beside, 0, 1)), 2);
     // The next life says nothing yet.
-    stage.mutes_renewals = true;
-    stage.crash(&place);
-    assert_eq!(stage.starts(suspect), 1, "it waits");
-    stage.mutes_renewals = false;
-    stage.advance(1_000);
-    assert_eq!(stage.starts(suspect), 2);
+    sim.are_renewals_muted = true;
+    sim.crash(&place);
+    assert_eq!(sim.starts(suspect), 1, "it waits");
+    sim.are_renewals_muted = false;
+    sim.advance(1_000);
+    assert_eq!(sim.starts(suspect), 2);
 }
 
 /// Guards against a service that crashes each of its workers some time after its start, for as long as it lasts.
 #[test]
 fn a_service_that_crashes_its_workers_late_is_bounded() {
-    let mut stage = four_workers();
-    stage.crash_after_ms = 6_000;
-    let bad = submit_bad(&mut stage, 1, job(vec![service_step(1)]));
+    let mut sim = four_workers();
+    sim.crash_after_ms = 6_000;
+    let bad = submit_bad(&mut sim, 1, job(vec![service_step(1)]));
     for _ in 0..200 {
-        stage.advance(500);
+        sim.advance(500);
     }
-    assert_eq!(stage.state(bad), Some(JobState::Failed));
-    assert!(stage.lost.len() <= BOUND, "{} workers were lost", stage.lost.len());
+    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
 }
--- a/tests/scheduler_model.rs
+++ b/tests/scheduler_model.rs
@@ -19,7 +19,7 @@
 use ibisweir::jobs::site::SiteConfig;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{POOL, Stage, config, job, service_step, step, vm, worker};
+use support::sim::{POOL, SchedulerSim, config, job, service_step, step, vm, worker};
 
 /// Runs in CI; by hand thousands.
 const RUNS: u64 = 40;
@@ -28,7 +28,7 @@
 const WORKERS: usize = 5;
 
 struct Model {
-    stage: Stage,
+    sim: SchedulerSim,
     random: StdRng,
     jobs: BTreeMap<JobId, JobSpec>,
     cancelled: BTreeSet<JobId>,
@@ -54,7 +54,7 @@
     fn open(seed: u64) -> Model {
         let pool = (0..WORKERS).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 2))).collect();
         Model {
-            stage: Stage::open(one_pool(), pool),
+            sim: SchedulerSim::open(one_pool(), pool),
             random: StdRng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
             cancelled: BTreeSet::new(),
@@ -75,13 +75,13 @@
             64..68 => self.repeat_submission(),
             68..74 => self.toggle_silence(),
             74..78 => self.toggle_late(),
-            78..82 => self.stage.log_is_up = !self.stage.log_is_up,
+            78..82 => self.sim.is_log_up = !self.sim.is_log_up,
             82..85 => self.take_over(),
             85..88 => self.crash(),
             _ => {}
         }
         let ms = self.random.random_range(0..400);
-        self.stage.advance(ms);
+        self.sim.advance(ms);
         self.check();
     }
 
@@ -96,7 +96,7 @@
         }
         self.next_job += 1;
         let spec = job(steps);
-        let id = self.stage.submit(self.next_job, spec.clone());
+        let id = self.sim.submit(self.next_job, spec.clone());
         self.jobs.insert(id, spec);
     }
 
@@ -115,7 +115,7 @@
     /// Runs that are alive, with their workers.
     fn alive(&self) -> Vec<(Arc<str>, TaskKey, u32)> {
         let mut alive = Vec::new();
-        for (id, worker) in &self.stage.workers {
+        for (id, worker) in &self.sim.workers {
             alive.extend(worker.running.keys().map(|(task, run)| (id.clone(), *task, *run)));
         }
         alive
@@ -138,14 +138,14 @@
         if kind == ExitKind::Done {
             self.done.insert(task);
         }
-        self.stage.end_run(task, run, &id, kind);
+        self.sim.end_run(task, run, &id, kind);
     }
 
     /// The members of a gang end together, once all of one run are there.
     fn end_gang(&mut self, task: TaskKey, run: u32) {
         let count = self.jobs[&task.job].steps[usize::from(task.step)].count;
         let members: Vec<(Arc<str>, TaskKey)> = self
-            .stage
+            .sim
             .workers
             .iter()
             .flat_map(|(id, worker)| worker.running.keys().map(move |key| (id.clone(), *key)))
@@ -157,24 +157,24 @@
         }
         for (id, key) in members {
             self.done.insert(key);
-            let worker = self.stage.workers.get_mut(&id).expect("known");
+            let worker = self.sim.workers.get_mut(&id).expect("known");
             worker.exit(key, run, ExitKind::Done);
         }
-        self.stage.pump();
+        self.sim.run_until_idle();
     }
 
     fn cancel(&mut self) {
         let Some(id) = self.any_job() else { return };
         self.cancelled.insert(id);
-        self.stage.append(&JobRecord::Cancelled(id));
+        self.sim.append(&JobRecord::Cancelled(id));
     }
 
     fn repeat_submission(&mut self) {
         let Some(id) = self.any_job() else { return };
         let spec = self.jobs[&id].clone();
-        let record = JobRecord::Submitted(id, Arc::new(support::stage::submission(spec)));
-        self.stage.scheduler.take_record(&record, self.stage.now);
-        self.stage.append(&record);
+        let record = JobRecord::Submitted(id, Arc::new(support::sim::submission(spec)));
+        self.sim.scheduler.apply_record(&record, self.sim.now);
+        self.sim.append(&record);
     }
 
     fn any_job(&mut self) -> Option<JobId> {
@@ -183,40 +183,40 @@
     }
 
     fn any_worker(&mut self) -> Arc<str> {
-        let ids: Vec<Arc<str>> = self.stage.workers.keys().cloned().collect();
+        let ids: Vec<Arc<str>> = self.sim.workers.keys().cloned().collect();
         ids[self.random.random_range(0..ids.len())].clone()
     }
 
     fn toggle_silence(&mut self) {
         let id = self.any_worker();
-        let worker = self.stage.workers.get_mut(&id).expect("known");
+        let worker = self.sim.workers.get_mut(&id).expect("known");
         worker.is_silent = !worker.is_silent;
     }
 
     fn toggle_late(&mut self) {
         let id = self.any_worker();
-        let worker = self.stage.workers.get_mut(&id).expect("known");
+        let worker = self.sim.workers.get_mut(&id).expect("known");
         worker.is_late = !worker.is_late;
         if !worker.is_late {
-            self.stage.deliver_late(&id);
+            self.sim.deliver_late(&id);
         }
     }
 
     fn take_over(&mut self) {
         self.term += 1;
-        self.stage.take_over(self.term, one_pool());
+        self.sim.take_over(self.term, one_pool());
     }
 
     /// A worker loses all that it runs; its VM shows another life.
     fn crash(&mut self) {
         let id = self.any_worker();
-        self.stage.crash(&id);
+        self.sim.crash(&id);
     }
 
     fn check(&mut self) {
         self.check_starts();
         let mut alive: BTreeMap<TaskKey, u32> = BTreeMap::new();
-        for (id, worker) in &self.stage.workers {
+        for (id, worker) in &self.sim.workers {
             let mut used = 0;
             for (task, _) in worker.running.keys() {
                 *alive.entry(*task).or_default() += 1;
@@ -228,15 +228,15 @@
             assert!(count <= 1, "{task} runs {count} times at once");
         }
         self.record_done();
-        let is_over = |id: &&JobId| self.stage.state(**id).is_some_and(JobState::is_final);
+        let is_over = |id: &&JobId| self.sim.state(**id).is_some_and(JobState::is_final);
         self.over.extend(self.jobs.keys().filter(is_over));
     }
 
     /// Looks at the starts since the last check.
     fn check_starts(&mut self) {
-        for (task, run, worker) in &self.stage.started[self.checked_starts..] {
+        for (task, run, worker) in &self.sim.started[self.checked_starts..] {
             // A start that was under way when an earlier run, taken for lapsed, turned out to be done.
-            let is_late = self.stage.started_late.contains(&(*task, *run));
+            let is_late = self.sim.started_late.contains(&(*task, *run));
             let is_again = self.recorded.contains(task) && !is_late;
             assert!(!is_again, "{task} run {run} on {worker} after its end");
             let spec = &self.jobs[&task.job];
@@ -247,13 +247,12 @@
                 }
             }
         }
-        self.checked_starts = self.stage.started.len();
+        self.checked_starts = self.sim.started.len();
     }
 
     fn record_done(&mut self) {
         for id in self.jobs.keys() {
-            let Some(progress) = self.stage.book.get(*id).and_then(|job| job.progress.clone())
-            else {
+            let Some(progress) = self.sim.book.get(*id).and_then(|job| job.progress.clone()) else {
                 continue;
             };
             for told in progress.tasks.iter().filter(|told| told.is_done) {
@@ -265,24 +264,24 @@
 
     /// Everything heals; every job that can end must.
     fn heal(&mut self) {
-        self.stage.log_is_up = true;
-        for id in self.stage.workers.keys().cloned().collect::<Vec<_>>() {
-            let worker = self.stage.workers.get_mut(&id).expect("known");
+        self.sim.is_log_up = true;
+        for id in self.sim.workers.keys().cloned().collect::<Vec<_>>() {
+            let worker = self.sim.workers.get_mut(&id).expect("known");
             worker.is_silent = false;
             worker.is_late = false;
-            self.stage.deliver_late(&id);
+            self.sim.deliver_late(&id);
         }
         self.cancel_services();
         for _ in 0..4_000 {
             self.end_well();
-            self.stage.advance(100);
+            self.sim.advance(100);
             self.check();
             if self.open_jobs() == 0 {
                 return;
             }
         }
         let open: Vec<_> = self.jobs.iter().filter(|(id, _)| !self.over.contains(id)).collect();
-        let told: Vec<_> = open.iter().map(|(id, _)| self.stage.book.get(**id)).collect();
+        let told: Vec<_> = open.iter().map(|(id, _)| self.sim.book.get(**id)).collect();
         panic!("these never end: {open:#?} {told:#?}");
     }
 
@@ -293,7 +292,7 @@
             self.jobs.iter().filter(|(_, spec)| is_service(spec)).map(|(id, _)| *id).collect();
         for id in services {
             self.cancelled.insert(id);
-            self.stage.append(&JobRecord::Cancelled(id));
+            self.sim.append(&JobRecord::Cancelled(id));
         }
     }
 
@@ -309,7 +308,7 @@
                 continue;
             }
             self.done.insert(task);
-            let worker = self.stage.workers.get_mut(&id).expect("known");
+            let worker = self.sim.workers.get_mut(&id).expect("known");
             worker.exit(task, run, ExitKind::Done);
         }
     }
@@ -348,10 +347,10 @@
 /// The VM list names every worker of the stage.
 #[test]
 fn a_crashed_worker_is_replaced_by_another_life() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.crash("w0");
-    assert!(!stage.workers.contains_key("w0"));
-    assert_eq!(stage.workers.len(), 1);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.crash("w0");
+    assert!(!sim.workers.contains_key("w0"));
+    assert_eq!(sim.workers.len(), 1);
     let entry = worker("w0", "r0");
     assert_eq!(&*vm(&entry, POOL).pool, POOL);
 }
--- a/tests/scheduler_queues.rs
+++ b/tests/scheduler_queues.rs
@@ -4,7 +4,7 @@
 
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::site::SiteConfig;
-use support::stage::{POOL, QUEUE, Stage, config, job, queue, step, task, worker};
+use support::sim::{POOL, QUEUE, SchedulerSim, config, job, queue, step, task, worker};
 
 /// The configuration once the queue of the tests is gone.
 fn without_queue() -> SiteConfig {
@@ -15,24 +15,24 @@
 /// that the leader has read names it.
 #[test]
 fn a_job_of_a_queue_that_its_leader_never_knew_is_served() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.log_is_up = false;
-    let id = stage.submit(1, job(vec![step(1)]));
-    assert_eq!(stage.starts(task(id, 0, 0)), 0, "nothing is on the log");
-    stage.log_is_up = true;
-    stage.take_over(2, without_queue());
-    stage.advance(500);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.is_log_up = false;
+    let id = sim.submit(1, job(vec![step(1)]));
+    assert_eq!(sim.starts(task(id, 0, 0)), 0, "nothing is on the log");
+    sim.is_log_up = true;
+    sim.take_over(2, without_queue());
+    sim.advance(500);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
 /// Guards against the same where the leader went on from an older configuration to a newer one than that by which another
 /// entry has accepted the job.
 #[test]
 fn a_job_of_a_queue_that_its_leader_has_skipped_is_served() {
-    let mut stage = Stage::open(without_queue(), vec![worker("w0", "r0")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.advance(500);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
-    assert_eq!(stage.state(id), Some(JobState::Running));
+    let mut sim = SchedulerSim::open(without_queue(), vec![worker("w0", "r0")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.advance(500);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
+    assert_eq!(sim.state(id), Some(JobState::Running));
     assert!(without_queue().queue(QUEUE).is_none());
 }
