--- a/tests/scheduler_rebirth.rs
+++ b/tests/scheduler_rebirth.rs
@@ -7,17 +7,17 @@
 use ibisweir::jobs::model::{ExitKind, JobState};
 use ibisweir::jobs::ports::{CommandOutcome, CommandRefusal, RenewCall, TaskExit, WorkerReport};
 use ibisweir::jobs::site::WorkerEntry;
-use ibisweir::scheduler::FENCES_PER_TERM;
-use support::stage::{Stage, config, job, job_id, service_step, step, task, worker};
+use ibisweir::scheduler::FENCING_TOKENS_PER_TERM;
+use support::sim::{SchedulerSim, config, job, job_id, service_step, step, task, worker};
 
 const FIRST: &str = "w1@0";
 
-fn one_worker() -> Stage {
-    Stage::open_born(config(), vec![worker("w1", "r1")])
+fn one_worker() -> SchedulerSim {
+    SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")])
 }
 
-fn two_workers() -> Stage {
-    Stage::open_born(config(), vec![worker("w1", "r1"), worker("w2", "r2")])
+fn two_workers() -> SchedulerSim {
+    SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1"), worker("w2", "r2")])
 }
 
 fn call() -> RenewCall {
@@ -29,21 +29,21 @@
 /// number its exits from one again, below those already taken in, and the jobs would never end.
 #[test]
 fn the_exits_of_the_next_life_count_from_its_first() {
-    let mut stage = one_worker();
+    let mut sim = one_worker();
     for id in 1..=3 {
-        let done = stage.submit(id, job(vec![step(1)]));
-        stage.end(task(done, 0, 0), ExitKind::Done);
-        stage.advance(100);
-        assert_eq!(stage.state(done), Some(JobState::Completed));
+        let done = sim.submit(id, job(vec![step(1)]));
+        sim.end(task(done, 0, 0), ExitKind::Done);
+        sim.advance(100);
+        assert_eq!(sim.state(done), Some(JobState::Completed));
     }
-    let id = stage.submit(4, job(vec![step(1)]));
-    let next = stage.begin_anew(FIRST);
-    stage.advance(1_000);
-    assert_eq!(stage.place(task(id, 0, 0)), next);
-    assert_eq!(stage.starts(task(id, 0, 0)), 2);
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(100);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    let id = sim.submit(4, job(vec![step(1)]));
+    let next = sim.restart_worker(FIRST);
+    sim.advance(1_000);
+    assert_eq!(sim.place(task(id, 0, 0)), next);
+    assert_eq!(sim.starts(task(id, 0, 0)), 2);
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(100);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// A worker has had exits acknowledged, and begins anew before anybody noticed. The next life takes a start and is done
@@ -52,37 +52,37 @@
 /// Seen as "ended: not on the worker" of three tasks that were done, each started again.
 #[test]
 fn an_acknowledgement_for_the_life_before_reaches_no_exit_of_the_next() {
-    let mut stage = one_worker();
-    let done = stage.submit(1, job(vec![step(4)]));
+    let mut sim = one_worker();
+    let done = sim.submit(1, job(vec![step(4)]));
     for index in 0..4 {
-        stage.end(task(done, 0, index), ExitKind::Done);
+        sim.end(task(done, 0, index), ExitKind::Done);
     }
-    stage.advance(200);
-    assert_eq!(stage.state(done), Some(JobState::Completed));
-    stage.begin_anew(FIRST);
+    sim.advance(200);
+    assert_eq!(sim.state(done), Some(JobState::Completed));
+    sim.restart_worker(FIRST);
     let next = job_id(2);
     let keys: Vec<_> = (0..3).map(|index| task(next, 0, index)).collect();
-    stage.instant_tasks.extend(keys.iter().copied());
-    stage.mutes_renewals = true;
-    stage.submit(2, job(vec![step(3)]));
-    stage.mutes_renewals = false;
-    stage.advance(1_000);
-    assert_eq!(stage.state(next), Some(JobState::Completed));
-    let starts: Vec<usize> = keys.iter().map(|key| stage.starts(*key)).collect();
+    sim.instant_tasks.extend(keys.iter().copied());
+    sim.are_renewals_muted = true;
+    sim.submit(2, job(vec![step(3)]));
+    sim.are_renewals_muted = false;
+    sim.advance(1_000);
+    assert_eq!(sim.state(next), Some(JobState::Completed));
+    let starts: Vec<usize> = keys.iter().map(|key| sim.starts(*key)).collect();
     assert_eq!(starts, vec![1, 1, 1]);
 }
 
 /// The worker's entry tells of the next life before any call shows it.
 #[test]
 fn a_rebirth_is_learned_from_the_workers_entry_too() {
-    let mut stage = one_worker();
-    let id = stage.submit(1, job(vec![step(2)]));
-    let next = stage.begin_anew(FIRST);
-    let entry = stage.entry(&next);
-    stage.scheduler.worker_seen(entry, stage.now);
-    stage.advance(1_000);
-    assert_eq!(stage.alive(task(id, 0, 0)) + stage.alive(task(id, 0, 1)), 2);
-    assert_eq!(stage.place(task(id, 0, 1)), next);
+    let mut sim = one_worker();
+    let id = sim.submit(1, job(vec![step(2)]));
+    let next = sim.restart_worker(FIRST);
+    let entry = sim.entry(&next);
+    sim.scheduler.worker_seen(entry, sim.now);
+    sim.advance(1_000);
+    assert_eq!(sim.alive(task(id, 0, 0)) + sim.alive(task(id, 0, 1)), 2);
+    assert_eq!(sim.place(task(id, 0, 1)), next);
 }
 
 /// A start has no answer, and its worker begins anew. The start comes to the next life, which takes it, as it was
@@ -90,50 +90,50 @@
 /// token, late starts are refused there and the task goes on.
 #[test]
 fn a_start_in_doubt_may_reach_the_next_life() {
-    let mut stage = two_workers();
-    for worker in stage.workers.values_mut() {
+    let mut sim = two_workers();
+    for worker in sim.workers.values_mut() {
         worker.is_late = true;
     }
-    let id = stage.submit(1, job(vec![step(1)]));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let late = stage.workers.iter().find(|(_, worker)| !worker.late.is_empty());
+    let late = sim.workers.iter().find(|(_, worker)| !worker.late.is_empty());
     let place = late.expect("the start is under way").0.clone();
-    let next = stage.begin_anew(&place);
-    stage.deliver_late(&next);
-    assert_eq!(stage.alive(key), 1);
-    stage.advance(2_000);
-    assert_eq!(stage.alive(key), 1, "it runs twice");
-    assert_eq!(stage.starts(key), 1);
-    stage.end_run(key, 1, &next, ExitKind::Done);
-    stage.advance(200);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    let next = sim.restart_worker(&place);
+    sim.deliver_late(&next);
+    assert_eq!(sim.alive(key), 1);
+    sim.advance(2_000);
+    assert_eq!(sim.alive(key), 1, "it runs twice");
+    assert_eq!(sim.starts(key), 1);
+    sim.end_run(key, 1, &next, ExitKind::Done);
+    sim.advance(200);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// The same, and the start comes late: after the next life has shown that it has nothing. Its token was raised with
 /// the first call, so that the start of before is refused, and the second run is the only one.
 #[test]
 fn a_start_that_comes_after_the_next_life_was_heard_is_refused_there() {
-    let mut stage = one_worker();
-    stage.workers.get_mut(FIRST).expect("known").is_late = true;
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = one_worker();
+    sim.workers.get_mut(FIRST).expect("known").is_late = true;
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let next = stage.begin_anew(FIRST);
-    stage.advance(1_000);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1));
-    stage.deliver_late(&next);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1), "the late start was taken");
+    let next = sim.restart_worker(FIRST);
+    sim.advance(1_000);
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1));
+    sim.deliver_late(&next);
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1), "the late start was taken");
 }
 
 /// A start was answered by the next life, in the moment between its birth and the first word of it: the answer to
 /// a start does not tell who gave it. It runs there, and must be found there, not started once more.
 #[test]
 fn a_start_that_the_next_life_answered_is_not_lost_with_the_one_before() {
-    let mut stage = one_worker();
-    let busy = stage.submit(1, job(vec![step(8)]));
-    stage.advance(100);
-    let next = stage.begin_anew(FIRST);
+    let mut sim = one_worker();
+    let busy = sim.submit(1, job(vec![step(8)]));
+    sim.advance(100);
+    let next = sim.restart_worker(FIRST);
     // No renewal comes through until the start has been answered.
-    stage.workers.get_mut(&next).expect("known").is_stale = true;
+    sim.workers.get_mut(&next).expect("known").is_stale = true;
     for index in 0..8 {
         let exit = TaskExit {
             number: u64::from(index) + 1,
@@ -143,39 +143,33 @@
             checkpoint: String::new(),
         };
         let report = WorkerReport {
-            clock_ms: stage.now,
+            clock_ms: sim.now,
             started_ms: Some(0),
             exits: vec![exit],
             ..WorkerReport::default()
         };
         let outcome = CommandOutcome::Done(report);
-        stage.scheduler.handle_renewal_outcome(
-            &FIRST.into(),
-            &call(),
-            outcome,
-            stage.now,
-            stage.now,
-        );
+        sim.scheduler.handle_renewal_outcome(&FIRST.into(), &call(), outcome, sim.now, sim.now);
     }
-    let id = stage.submit(2, job(vec![step(1)]));
+    let id = sim.submit(2, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1));
-    stage.workers.get_mut(&next).expect("known").is_stale = false;
-    stage.advance(1_000);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1), "started once more");
-    stage.end_run(key, 1, &next, ExitKind::Done);
-    stage.advance(200);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1));
+    sim.workers.get_mut(&next).expect("known").is_stale = false;
+    sim.advance(1_000);
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1), "started once more");
+    sim.end_run(key, 1, &next, ExitKind::Done);
+    sim.advance(200);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// An answer of the life before comes after the next one was seen, with an end that was listed but never taken in.
 /// It tells nothing of the next life, whose ends have the same numbers.
 #[test]
 fn a_late_list_of_the_life_before_is_ignored() {
-    let mut stage = one_worker();
-    let id = stage.submit(1, job(vec![step(2)]));
-    let next = stage.begin_anew(FIRST);
-    stage.advance(500);
+    let mut sim = one_worker();
+    let id = sim.submit(1, job(vec![step(2)]));
+    let next = sim.restart_worker(FIRST);
+    sim.advance(500);
     let exits = vec![TaskExit {
         number: 1,
         task: task(id, 0, 0),
@@ -185,16 +179,16 @@
     }];
     let late = WorkerReport { clock_ms: 1, started_ms: Some(0), exits, ..WorkerReport::default() };
     let outcome = CommandOutcome::Done(late);
-    stage.scheduler.handle_renewal_outcome(&next, &call(), outcome, stage.now, stage.now);
-    stage.scheduler.worker_seen(worker("w1", "r1").born(0), stage.now);
-    stage.pump();
-    stage.advance(500);
+    sim.scheduler.handle_renewal_outcome(&next, &call(), outcome, sim.now, sim.now);
+    sim.scheduler.worker_seen(worker("w1", "r1").born(0), sim.now);
+    sim.run_until_idle();
+    sim.advance(500);
     for index in 0..2 {
-        stage.end_run(task(id, 0, index), 2, &next, ExitKind::Done);
+        sim.end_run(task(id, 0, index), 2, &next, ExitKind::Done);
     }
-    stage.advance(100);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
-    assert_eq!((stage.starts(task(id, 0, 0)), stage.starts(task(id, 0, 1))), (2, 2));
+    sim.advance(100);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
+    assert_eq!((sim.starts(task(id, 0, 0)), sim.starts(task(id, 0, 1))), (2, 2));
 }
 
 /// A worker begins anew, and an answer shows it before the entry of the life before is dropped and the next one is
@@ -202,19 +196,19 @@
 /// worker would refuse it, and the leader would take that for another leader's work and step down.
 #[test]
 fn a_life_keeps_its_token_when_it_is_dropped_from_the_list_and_listed_again() {
-    let mut stage = one_worker();
-    let next = stage.begin_anew(FIRST);
-    stage.submit(1, job(vec![step(1)]));
-    stage.advance(400);
-    stage.end(task(job_id(1), 0, 0), ExitKind::Done);
-    stage.advance(400);
-    stage.scheduler.worker_unlisted(&"w1".into(), stage.now);
-    stage.scheduler.worker_seen(stage.entry(&next), stage.now);
-    stage.pump();
-    let id = stage.submit(2, job(vec![step(1)]));
-    stage.advance(200);
-    assert!(!stage.scheduler.is_deposed(), "the leader takes its own token for another's");
-    assert_eq!((stage.starts(task(id, 0, 0)), stage.alive(task(id, 0, 0))), (1, 1));
+    let mut sim = one_worker();
+    let next = sim.restart_worker(FIRST);
+    sim.submit(1, job(vec![step(1)]));
+    sim.advance(400);
+    sim.end(task(job_id(1), 0, 0), ExitKind::Done);
+    sim.advance(400);
+    sim.scheduler.worker_unlisted(&"w1".into(), sim.now);
+    sim.scheduler.worker_seen(sim.entry(&next), sim.now);
+    sim.run_until_idle();
+    let id = sim.submit(2, job(vec![step(1)]));
+    sim.advance(200);
+    assert!(!sim.scheduler.is_deposed(), "the leader takes its own token for another's");
+    assert_eq!((sim.starts(task(id, 0, 0)), sim.alive(task(id, 0, 0))), (1, 1));
 }
 
 /// A worker loses its runs and its entry, comes back as another life, and a start that was sent to the life before
@@ -222,33 +216,33 @@
 /// says nothing there: only the token keeps the task from running twice.
 #[test]
 fn a_start_that_was_given_up_is_refused_by_the_next_life() {
-    let mut stage = two_workers();
-    for worker in stage.workers.values_mut() {
+    let mut sim = two_workers();
+    for worker in sim.workers.values_mut() {
         worker.is_late = true;
     }
-    let id = stage.submit(1, job(vec![step(1)]));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let late = stage.workers.iter().find(|(_, worker)| !worker.late.is_empty());
+    let late = sim.workers.iter().find(|(_, worker)| !worker.late.is_empty());
     let place = late.expect("the start is under way").0.clone();
-    for worker in stage.workers.values_mut() {
+    for worker in sim.workers.values_mut() {
         worker.is_late = false;
     }
-    stage.workers.get_mut(&place).expect("known").is_silent = true;
+    sim.workers.get_mut(&place).expect("known").is_silent = true;
     let name: std::sync::Arc<str> = ibisweir::jobs::site::worker_name(&place).into();
-    stage.scheduler.worker_unlisted(&name, stage.now);
-    stage.advance(12_000);
-    assert_eq!(stage.alive(key), 1, "it runs on the other worker");
-    let next = stage.begin_anew(&place);
-    let entry = stage.entry(&next);
-    stage.scheduler.worker_seen(entry, stage.now);
-    stage.pump();
-    stage.advance(500);
+    sim.scheduler.worker_unlisted(&name, sim.now);
+    sim.advance(12_000);
+    assert_eq!(sim.alive(key), 1, "it runs on the other worker");
+    let next = sim.restart_worker(&place);
+    let entry = sim.entry(&next);
+    sim.scheduler.worker_seen(entry, sim.now);
+    sim.run_until_idle();
+    sim.advance(500);
     // Its clock began anew, and shows times that the late start's lease covers.
-    for call in &mut stage.workers.get_mut(&next).expect("known").late {
+    for call in &mut sim.workers.get_mut(&next).expect("known").late {
         call.lease_until_ms += 20_000;
     }
-    stage.deliver_late(&next);
-    assert_eq!(stage.alive(key), 1, "the late start was taken");
+    sim.deliver_late(&next);
+    assert_eq!(sim.alive(key), 1, "the late start was taken");
 }
 
 trait Born {
@@ -266,135 +260,135 @@
 /// over, and that is known from the first answer: its task starts at once, not after the longest lease.
 #[test]
 fn a_new_leader_meets_a_worker_in_its_next_life() {
-    let mut stage = one_worker();
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = one_worker();
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let next = stage.begin_anew(FIRST);
-    stage.take_over(2, config());
-    stage.advance(500);
-    assert_eq!((stage.starts(key), stage.alive(key)), (2, 1));
-    assert_eq!(stage.place(key), next);
+    let next = sim.restart_worker(FIRST);
+    sim.take_over(2, config());
+    sim.advance(500);
+    assert_eq!((sim.starts(key), sim.alive(key)), (2, 1));
+    assert_eq!(sim.place(key), next);
 }
 
 /// The same with a start of the old leader in doubt, which the next life has taken: it is found there.
 #[test]
 fn a_new_leader_finds_what_the_next_life_took() {
-    let mut stage = one_worker();
-    stage.workers.get_mut(FIRST).expect("known").is_late = true;
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = one_worker();
+    sim.workers.get_mut(FIRST).expect("known").is_late = true;
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let next = stage.begin_anew(FIRST);
-    stage.deliver_late(&next);
-    stage.take_over(2, config());
-    stage.advance(1_000);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1));
+    let next = sim.restart_worker(FIRST);
+    sim.deliver_late(&next);
+    sim.take_over(2, config());
+    sim.advance(1_000);
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1));
 }
 
 /// Guards against a second run of a task that the next life took, where a new leader reads the VM list before that life's
 /// first answer.
 #[test]
 fn a_list_of_vms_does_not_end_what_the_next_life_may_have() {
-    let mut stage = two_workers();
-    for worker in stage.workers.values_mut() {
+    let mut sim = two_workers();
+    for worker in sim.workers.values_mut() {
         worker.is_late = true;
     }
-    let id = stage.submit(1, job(vec![step(1)]));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let late = stage.workers.iter().find(|(_, worker)| !worker.late.is_empty());
+    let late = sim.workers.iter().find(|(_, worker)| !worker.late.is_empty());
     let place = late.expect("the start is under way").0.clone();
-    stage.mutes_renewals = true;
-    let next = stage.begin_anew(&place);
-    stage.deliver_late(&next);
-    for worker in stage.workers.values_mut() {
+    sim.are_renewals_muted = true;
+    let next = sim.restart_worker(&place);
+    sim.deliver_late(&next);
+    for worker in sim.workers.values_mut() {
         worker.is_late = false;
     }
-    stage.workers.get_mut(&next).expect("known").is_silent = true;
-    stage.mutes_renewals = false;
-    stage.take_over(2, config());
-    stage.list_vms();
-    assert_eq!(stage.alive(key), 1, "it runs twice");
-    stage.workers.get_mut(&next).expect("known").is_silent = false;
-    stage.advance(1_000);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1));
-    stage.end_run(key, 1, &next, ExitKind::Done);
-    stage.advance(200);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    sim.workers.get_mut(&next).expect("known").is_silent = true;
+    sim.are_renewals_muted = false;
+    sim.take_over(2, config());
+    sim.list_vms();
+    assert_eq!(sim.alive(key), 1, "it runs twice");
+    sim.workers.get_mut(&next).expect("known").is_silent = false;
+    sim.advance(1_000);
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1));
+    sim.end_run(key, 1, &next, ExitKind::Done);
+    sim.advance(200);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// Guards against a second run of a task whose worker a new leader knows from the log and the VM list alone, as its
 /// entry is gone: it may run on behind a cut until its leases have run out.
 #[test]
 fn a_worker_that_only_the_log_and_its_vm_tell_of_keeps_its_runs() {
-    let mut stage = two_workers();
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = two_workers();
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let place = stage.place(key);
-    stage.unlist(&place);
-    stage.take_over(2, config());
-    stage.list_vms();
-    stage.advance(1_000);
-    assert_eq!((stage.starts(key), stage.alive(key)), (1, 1), "it runs twice");
-    stage.advance(7_500);
-    assert_eq!((stage.starts(key), stage.alive(key)), (2, 1));
+    let place = sim.place(key);
+    sim.unlist(&place);
+    sim.take_over(2, config());
+    sim.list_vms();
+    sim.advance(1_000);
+    assert_eq!((sim.starts(key), sim.alive(key)), (1, 1), "it runs twice");
+    sim.advance(7_500);
+    assert_eq!((sim.starts(key), sim.alive(key)), (2, 1));
 }
 
 /// Guards against a second run by a late start that a new leader's token kept out of one life, and that comes to the next
 /// life before its first call.
 #[test]
 fn a_start_that_one_life_would_refuse_does_not_run_in_the_next() {
-    let mut stage = two_workers();
-    for worker in stage.workers.values_mut() {
+    let mut sim = two_workers();
+    for worker in sim.workers.values_mut() {
         worker.is_late = true;
     }
-    let id = stage.submit(1, job(vec![step(1)]));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let late = stage.workers.iter().find(|(_, worker)| !worker.late.is_empty());
+    let late = sim.workers.iter().find(|(_, worker)| !worker.late.is_empty());
     let place = late.expect("the start is under way").0.clone();
-    for worker in stage.workers.values_mut() {
+    for worker in sim.workers.values_mut() {
         worker.is_late = false;
     }
-    stage.workers.get_mut(&place).expect("known").is_full = true;
-    stage.take_over(2, config());
-    stage.advance(1_000);
-    assert_eq!(stage.alive(key), 1, "it runs on the other worker");
-    stage.mutes_renewals = true;
-    let next = stage.begin_anew(&place);
-    stage.deliver_late(&next);
-    assert_eq!(stage.alive(key), 1, "it runs twice");
+    sim.workers.get_mut(&place).expect("known").is_full = true;
+    sim.take_over(2, config());
+    sim.advance(1_000);
+    assert_eq!(sim.alive(key), 1, "it runs on the other worker");
+    sim.are_renewals_muted = true;
+    let next = sim.restart_worker(&place);
+    sim.deliver_late(&next);
+    assert_eq!(sim.alive(key), 1, "it runs twice");
 }
 
 /// What was sent to the life before is refused by the next one's higher token. That tells of no other leader.
 #[test]
 fn a_refusal_of_what_was_meant_for_the_life_before_deposes_nobody() {
-    let mut stage = one_worker();
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.begin_anew(FIRST);
-    stage.advance(500);
+    let mut sim = one_worker();
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.restart_worker(FIRST);
+    sim.advance(500);
     let refused = CommandOutcome::Refused(CommandRefusal::Fenced, None);
     let first: Arc<str> = FIRST.into();
-    stage.scheduler.handle_start_outcome(&first, &task(id, 0, 0), 1, &refused, stage.now);
+    sim.scheduler.handle_start_outcome(&first, &task(id, 0, 0), 1, &refused, sim.now);
     let refused = CommandOutcome::Refused(CommandRefusal::Fenced, None);
-    stage.scheduler.handle_renewal_outcome(&first, &call(), refused, stage.now, stage.now);
-    assert!(!stage.scheduler.is_deposed());
+    sim.scheduler.handle_renewal_outcome(&first, &call(), refused, sim.now, sim.now);
+    assert!(!sim.scheduler.is_deposed());
 }
 
 /// A worker crashes behind a cut and starts again there. While it can't be reached its tasks wait as if it ran them;
 /// when the cut heals its first answer shows the next life, and they start again.
 #[test]
 fn a_worker_that_began_anew_behind_a_cut_loses_and_doubles_nothing() {
-    let mut stage = two_workers();
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = two_workers();
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let place = stage.place(key);
-    stage.workers.get_mut(&place).expect("known").is_silent = true;
-    stage.advance(600);
-    let next = stage.begin_anew(&place);
-    stage.workers.get_mut(&next).expect("known").is_silent = true;
-    stage.advance(600);
-    assert_eq!(stage.starts(key), 1);
-    stage.workers.get_mut(&next).expect("known").is_silent = false;
-    stage.advance(600);
-    assert_eq!((stage.starts(key), stage.alive(key)), (2, 1));
+    let place = sim.place(key);
+    sim.workers.get_mut(&place).expect("known").is_silent = true;
+    sim.advance(600);
+    let next = sim.restart_worker(&place);
+    sim.workers.get_mut(&next).expect("known").is_silent = true;
+    sim.advance(600);
+    assert_eq!(sim.starts(key), 1);
+    sim.workers.get_mut(&next).expect("known").is_silent = false;
+    sim.advance(600);
+    assert_eq!((sim.starts(key), sim.alive(key)), (2, 1));
 }
 
 /// A task crashes each worker that starts it, and each is back under its name at once. The losses count by lives:
@@ -402,43 +396,43 @@
 #[test]
 fn losses_are_counted_by_lives() {
     let entries = (0..4).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
-    let mut stage = Stage::open_born(config(), entries);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open_with_incarnations(config(), entries);
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for _ in 0..8 {
-        if stage.state(id).is_some_and(|state| state.is_final()) {
+        if sim.state(id).is_some_and(|state| state.is_final()) {
             break;
         }
-        if stage.alive(key) > 0 {
-            let place = stage.place(key);
-            let next = stage.begin_anew(&place);
-            let entry = stage.entry(&next);
-            stage.scheduler.worker_seen(entry, stage.now);
-            stage.pump();
+        if sim.alive(key) > 0 {
+            let place = sim.place(key);
+            let next = sim.restart_worker(&place);
+            let entry = sim.entry(&next);
+            sim.scheduler.worker_seen(entry, sim.now);
+            sim.run_until_idle();
         }
-        stage.advance(1_200);
+        sim.advance(1_200);
     }
-    assert_eq!(stage.state(id), Some(JobState::Failed));
-    assert!(stage.starts(key) <= 5, "{} workers", stage.starts(key));
+    assert_eq!(sim.state(id), Some(JobState::Failed));
+    assert!(sim.starts(key) <= 5, "{} workers", sim.starts(key));
 }
 
 /// Service tasks are back at work after each of many rebirths, one run each.
 #[test]
 fn services_come_back_after_each_rebirth() {
-    let mut stage = two_workers();
-    let id = stage.submit(1, job(vec![service_step(2)]));
+    let mut sim = two_workers();
+    let id = sim.submit(1, job(vec![service_step(2)]));
     for round in 0..6 {
-        let keys: Vec<Arc<str>> = stage.workers.keys().cloned().collect();
-        stage.begin_anew(&keys[round % 2]);
+        let keys: Vec<Arc<str>> = sim.workers.keys().cloned().collect();
+        sim.restart_worker(&keys[round % 2]);
         // Long at work, so that the losses tell of nothing.
         for _ in 0..6 {
-            for worker in stage.workers.values_mut() {
+            for worker in sim.workers.values_mut() {
                 worker.running.values_mut().for_each(|percent| *percent = 100);
             }
-            stage.advance(1_000);
+            sim.advance(1_000);
         }
-        assert_eq!(stage.alive(task(id, 0, 0)), 1, "round {round}");
-        assert_eq!(stage.alive(task(id, 0, 1)), 1, "round {round}");
+        assert_eq!(sim.alive(task(id, 0, 0)), 1, "round {round}");
+        assert_eq!(sim.alive(task(id, 0, 1)), 1, "round {round}");
     }
 }
 
@@ -446,18 +440,21 @@
 /// down before it calls a life with a token of the next term, which could belong to another leader.
 #[test]
 fn a_leader_steps_down_before_its_tokens_are_used_up() {
-    let mut stage = one_worker();
+    let mut sim = one_worker();
     let mut id: Arc<str> = FIRST.into();
     let mut lives = 0;
-    while !stage.scheduler.is_deposed() {
-        id = stage.begin_anew(&id);
-        let entry = stage.entry(&id);
-        stage.scheduler.worker_seen(entry, stage.now);
-        stage.pump();
-        let fence = stage.workers[&id].fence;
-        assert!(fence < stage.scheduler.fence() + FENCES_PER_TERM, "{fence} after {lives} lives");
+    while !sim.scheduler.is_deposed() {
+        id = sim.restart_worker(&id);
+        let entry = sim.entry(&id);
+        sim.scheduler.worker_seen(entry, sim.now);
+        sim.run_until_idle();
+        let fence = sim.workers[&id].fence;
+        assert!(
+            fence < sim.scheduler.fence() + FENCING_TOKENS_PER_TERM,
+            "{fence} after {lives} lives"
+        );
         lives += 1;
-        assert!(lives <= FENCES_PER_TERM, "it never steps down");
+        assert!(lives <= FENCING_TOKENS_PER_TERM, "it never steps down");
     }
-    assert!(lives > FENCES_PER_TERM / 2, "{lives} lives");
+    assert!(lives > FENCING_TOKENS_PER_TERM / 2, "{lives} lives");
 }
--- a/tests/scheduler_room.rs
+++ b/tests/scheduler_room.rs
@@ -6,7 +6,7 @@
 
 use ibisweir::jobs::model::{ExitKind, ResourceVector, TaskKey};
 use ibisweir::jobs::site::{SiteConfig, WorkerEntry};
-use support::stage::{Stage, config, job, step, task, worker};
+use support::sim::{SchedulerSim, config, job, step, task, worker};
 
 /// Pools whose workers start whatever they are told to.
 fn unguarded() -> SiteConfig {
@@ -22,8 +22,8 @@
 }
 
 /// Processor of what runs on a worker, in cores; each task takes one.
-fn cores_used(stage: &Stage, id: &str) -> usize {
-    stage.workers[id].running.len()
+fn cores_used(sim: &SchedulerSim, id: &str) -> usize {
+    sim.workers[id].running.len()
 }
 
 /// A worker's room shrinks below what runs there. Nothing that runs is stopped, and nothing is started until
@@ -31,23 +31,23 @@
 #[test]
 fn a_room_that_shrinks_below_what_runs_takes_nothing_until_it_fits() {
     let w1 = worker("w1", "r1");
-    let mut stage = Stage::open(unguarded(), vec![w1.clone()]);
-    let first = stage.submit(1, job(vec![step(6)]));
-    stage.advance(100);
-    stage.report(with_cores(&w1, 4));
-    let second = stage.submit(2, job(vec![step(2)]));
-    stage.advance(200);
-    assert_eq!(cores_used(&stage, "w1"), 6);
+    let mut sim = SchedulerSim::open(unguarded(), vec![w1.clone()]);
+    let first = sim.submit(1, job(vec![step(6)]));
+    sim.advance(100);
+    sim.report(with_cores(&w1, 4));
+    let second = sim.submit(2, job(vec![step(2)]));
+    sim.advance(200);
+    assert_eq!(cores_used(&sim, "w1"), 6);
 
-    (0..2).for_each(|index| stage.end(task(first, 0, index), ExitKind::Done));
-    stage.advance(100);
-    assert_eq!(cores_used(&stage, "w1"), 4, "full at its new size");
-    stage.end(task(first, 0, 2), ExitKind::Done);
-    stage.advance(100);
-    assert_eq!(cores_used(&stage, "w1"), 4);
-    stage.report(w1);
-    stage.advance(100);
-    assert_eq!(stage.alive(task(second, 0, 0)) + stage.alive(task(second, 0, 1)), 2);
+    (0..2).for_each(|index| sim.end(task(first, 0, index), ExitKind::Done));
+    sim.advance(100);
+    assert_eq!(cores_used(&sim, "w1"), 4, "full at its new size");
+    sim.end(task(first, 0, 2), ExitKind::Done);
+    sim.advance(100);
+    assert_eq!(cores_used(&sim, "w1"), 4);
+    sim.report(w1);
+    sim.advance(100);
+    assert_eq!(sim.alive(task(second, 0, 0)) + sim.alive(task(second, 0, 1)), 2);
 }
 
 /// Starts wait to be sent when the worker says that it has less room. Sent all the same, they would bring a
@@ -55,19 +55,19 @@
 #[test]
 fn starts_that_wait_for_a_room_that_shrinks_go_elsewhere() {
     let (w1, w2) = (worker("w1", "r1"), worker("w2", "r2"));
-    let mut stage = Stage::open(unguarded(), vec![w1.clone(), w2]);
-    stage.lane_is_slow = true;
-    let id = stage.submit(1, job(vec![step(8)]));
-    let full = stage.scheduled_on("w1").max(stage.scheduled_on("w2"));
+    let mut sim = SchedulerSim::open(unguarded(), vec![w1.clone(), w2]);
+    sim.is_lane_held = true;
+    let id = sim.submit(1, job(vec![step(8)]));
+    let full = sim.scheduled_on("w1").max(sim.scheduled_on("w2"));
     assert_eq!(full, 8, "all go to one worker");
-    let place: Arc<str> = if stage.scheduled_on("w1") == 8 { "w1".into() } else { "w2".into() };
-    stage.report(with_cores(&worker(&place, "r1"), 3));
-    stage.empty_lanes();
-    stage.lane_is_slow = false;
-    stage.advance(2_000);
+    let place: Arc<str> = if sim.scheduled_on("w1") == 8 { "w1".into() } else { "w2".into() };
+    sim.report(with_cores(&worker(&place, "r1"), 3));
+    sim.empty_lanes();
+    sim.is_lane_held = false;
+    sim.advance(2_000);
 
-    assert!(cores_used(&stage, &place) <= 3, "{} cores", cores_used(&stage, &place));
-    let alive = |index| stage.alive(task(id, 0, index));
+    assert!(cores_used(&sim, &place) <= 3, "{} cores", cores_used(&sim, &place));
+    let alive = |index| sim.alive(task(id, 0, index));
     assert!((0..8).all(|index| alive(index) == 1), "each runs once");
 }
 
@@ -76,24 +76,24 @@
 #[test]
 fn starts_in_doubt_are_not_repeated_into_a_room_that_shrank() {
     let (w1, w2) = (worker("w1", "r1"), worker("w2", "r2"));
-    let mut stage = Stage::open(unguarded(), vec![w1, w2]);
+    let mut sim = SchedulerSim::open(unguarded(), vec![w1, w2]);
     for name in ["w1", "w2"] {
-        stage.workers.get_mut(name).expect("known").is_late = true;
+        sim.workers.get_mut(name).expect("known").is_late = true;
     }
-    let id = stage.submit(1, job(vec![step(4)]));
-    let place: Arc<str> = if stage.scheduled_on("w1") > 0 { "w1".into() } else { "w2".into() };
-    stage.report(with_cores(&worker(&place, "r1"), 1));
+    let id = sim.submit(1, job(vec![step(4)]));
+    let place: Arc<str> = if sim.scheduled_on("w1") > 0 { "w1".into() } else { "w2".into() };
+    sim.report(with_cores(&worker(&place, "r1"), 1));
     for name in ["w1", "w2"] {
-        stage.workers.get_mut(name).expect("known").is_late = false;
+        sim.workers.get_mut(name).expect("known").is_late = false;
     }
     for step in 0..100 {
-        stage.advance(20);
-        assert!(cores_used(&stage, &place) <= 1, "{} cores", cores_used(&stage, &place));
+        sim.advance(20);
+        assert!(cores_used(&sim, &place) <= 1, "{} cores", cores_used(&sim, &place));
         if step == 50 {
-            stage.deliver_late(&place);
+            sim.deliver_late(&place);
         }
     }
-    let alive = |index| stage.alive(task(id, 0, index));
+    let alive = |index| sim.alive(task(id, 0, index));
     assert!((0..4).all(|index| alive(index) == 1), "each runs once");
 }
 
@@ -103,15 +103,15 @@
 #[test]
 fn rooms_that_nobody_has_read_for_seconds_take_no_start_without_a_guard() {
     for (config, has_admission_check) in [(unguarded(), false), (config(), true)] {
-        let mut stage = Stage::open(config, vec![worker("w1", "r1")]);
-        stage.reads_workers = false;
-        stage.advance(5_000);
-        let id = stage.submit(1, job(vec![step(1)]));
-        stage.advance(500);
-        assert_eq!(stage.starts(task(id, 0, 0)) > 0, has_admission_check);
-        stage.reads_workers = true;
-        stage.advance(500);
-        assert_eq!(stage.starts(task(id, 0, 0)), 1);
+        let mut sim = SchedulerSim::open(config, vec![worker("w1", "r1")]);
+        sim.is_reading_workers = false;
+        sim.advance(5_000);
+        let id = sim.submit(1, job(vec![step(1)]));
+        sim.advance(500);
+        assert_eq!(sim.starts(task(id, 0, 0)) > 0, has_admission_check);
+        sim.is_reading_workers = true;
+        sim.advance(500);
+        assert_eq!(sim.starts(task(id, 0, 0)), 1);
     }
 }
 
@@ -119,15 +119,15 @@
 #[test]
 fn what_is_being_stopped_counts_in_a_room_that_shrank() {
     let w1 = worker("w1", "r1");
-    let mut stage = Stage::open(unguarded(), vec![w1.clone()]);
-    stage.workers.get_mut("w1").expect("known").stop_ms = 300;
-    let first = stage.submit(1, job(vec![step(4)]));
-    stage.advance(100);
-    stage.append(&ibisweir::jobs::record::JobRecord::Cancelled(first));
-    stage.report(with_cores(&w1, 4));
-    let second: TaskKey = task(stage.submit(2, job(vec![step(1)])), 0, 0);
-    stage.advance(200);
-    assert_eq!(stage.starts(second), 0);
-    stage.advance(500);
-    assert_eq!(stage.starts(second), 1);
+    let mut sim = SchedulerSim::open(unguarded(), vec![w1.clone()]);
+    sim.workers.get_mut("w1").expect("known").stop_ms = 300;
+    let first = sim.submit(1, job(vec![step(4)]));
+    sim.advance(100);
+    sim.append(&ibisweir::jobs::record::JobRecord::Cancelled(first));
+    sim.report(with_cores(&w1, 4));
+    let second: TaskKey = task(sim.submit(2, job(vec![step(1)])), 0, 0);
+    sim.advance(200);
+    assert_eq!(sim.starts(second), 0);
+    sim.advance(500);
+    assert_eq!(sim.starts(second), 1);
 }
--- a/tests/scheduler_runs.rs
+++ b/tests/scheduler_runs.rs
@@ -8,26 +8,26 @@
 use ibisweir::jobs::ports::{CommandOutcome, CommandRefusal, VmCommand, VmOutcome};
 use ibisweir::jobs::record::JobRecord;
 use ibisweir::scheduler::SchedulerAction;
-use support::stage::{Stage, config, job, step, submission, task, worker};
+use support::sim::{SchedulerSim, config, job, step, submission, task, worker};
 
 /// A caller's first answer was lost, or its request was repeated by the network: seconds after the
 /// job is completed the same submission reaches another entry, which has not read of it yet, and is
 /// put on the log again. The caller sees one job that stays completed, and no task runs again.
 #[test]
 fn a_submission_that_is_repeated_after_the_job_is_over_starts_nothing() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(500);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(500);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 
     let record = JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)]))));
-    stage.scheduler.take_record(&record, stage.now);
-    stage.append(&record);
-    stage.advance(500);
+    sim.scheduler.apply_record(&record, sim.now);
+    sim.append(&record);
+    sim.advance(500);
 
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// A start has no answer, is carried out all the same, and the task is done before the start is sent
@@ -35,22 +35,22 @@
 /// place, not of one that never will: the caller's task must not run a second time.
 #[test]
 fn a_repeated_start_that_is_refused_as_old_leaves_the_end_to_the_report() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let w1 = stage.workers.get_mut("w1").expect("a worker");
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let w1 = sim.workers.get_mut("w1").expect("a worker");
     w1.is_late = true;
     w1.is_stale = true;
-    let id = stage.submit(1, job(vec![step(1)]));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    stage.deliver_late("w1");
-    let w1 = stage.workers.get_mut("w1").expect("a worker");
+    sim.deliver_late("w1");
+    let w1 = sim.workers.get_mut("w1").expect("a worker");
     w1.is_late = false;
     w1.exit(key, 1, ExitKind::Done);
-    stage.advance(1_000);
-    stage.workers.get_mut("w1").expect("a worker").is_stale = false;
-    stage.advance(1_000);
+    sim.advance(1_000);
+    sim.workers.get_mut("w1").expect("a worker").is_stale = false;
+    sim.advance(1_000);
 
-    assert_eq!(stage.starts(key), 1);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
+    assert_eq!(sim.starts(key), 1);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
 /// One task of a step simply is larger than the others and takes four times as long, on any worker.
@@ -58,50 +58,50 @@
 /// given another worker at most twice.
 #[test]
 fn a_task_that_is_slow_everywhere_is_left_to_end() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let id = stage.submit(1, job(vec![step(4)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    let id = sim.submit(1, job(vec![step(4)]));
     let large = task(id, 0, 3);
-    stage.advance(1_000);
+    sim.advance(1_000);
     for index in 0..3 {
-        stage.end(task(id, 0, index), ExitKind::Done);
+        sim.end(task(id, 0, index), ExitKind::Done);
     }
     for _ in 0..200 {
-        stage.progress(large, 2, 100);
+        sim.progress(large, 2, 100);
     }
-    assert!(stage.starts(large) <= 3, "{} starts", stage.starts(large));
-    assert_eq!(stage.alive(large), 1);
+    assert!(sim.starts(large) <= 3, "{} starts", sim.starts(large));
+    assert_eq!(sim.alive(large), 1);
 }
 
 /// A worker is slow to answer, so a start waits behind other commands to it. Meanwhile the caller
 /// cancels the job, and is told so. The start that is sent last must not be sent at all.
 #[test]
 fn a_start_that_waited_behind_other_commands_is_not_sent_once_its_job_is_over() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    stage.lane_is_slow = true;
-    let id = stage.submit(1, job(vec![step(2)]));
-    stage.advance(100);
-    stage.append(&JobRecord::Cancelled(id));
-    stage.empty_lanes();
-    stage.advance(1_000);
-    stage.empty_lanes();
-
-    assert!(stage.started.is_empty(), "started {:?}", stage.started);
-    assert_eq!(stage.state(id), Some(JobState::Cancelled));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    sim.is_lane_held = true;
+    let id = sim.submit(1, job(vec![step(2)]));
+    sim.advance(100);
+    sim.append(&JobRecord::Cancelled(id));
+    sim.empty_lanes();
+    sim.advance(1_000);
+    sim.empty_lanes();
+
+    assert!(sim.started.is_empty(), "started {:?}", sim.started);
+    assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
 
 /// The same repeat, for a job that the caller has cancelled: it stays cancelled.
 #[test]
 fn a_submission_that_is_repeated_after_a_cancel_starts_nothing() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.append(&JobRecord::Cancelled(id));
-    stage.advance(500);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.append(&JobRecord::Cancelled(id));
+    sim.advance(500);
     let record = JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)]))));
-    stage.scheduler.take_record(&record, stage.now);
-    stage.advance(500);
+    sim.scheduler.apply_record(&record, sim.now);
+    sim.advance(500);
 
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
-    assert_eq!(stage.state(id), Some(JobState::Cancelled));
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
+    assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
 
 /// A start has no answer, and its repeat is refused for want of room. The first may still be carried
@@ -109,80 +109,78 @@
 /// that run for good. The caller's task must not run in two places.
 #[test]
 fn a_start_in_doubt_is_ruled_out_before_the_task_goes_elsewhere() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    for worker in stage.workers.values_mut() {
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    for worker in sim.workers.values_mut() {
         worker.is_late = true;
         worker.is_stale = true;
     }
-    let id = stage.submit(1, job(vec![step(1)]));
+    let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    let first = stage.workers.iter().find(|(_, worker)| !worker.late.is_empty());
+    let first = sim.workers.iter().find(|(_, worker)| !worker.late.is_empty());
     let first = first.map(|(name, _)| name.clone()).expect("a start is under way");
-    for worker in stage.workers.values_mut() {
+    for worker in sim.workers.values_mut() {
         worker.is_late = false;
         worker.is_stale = false;
     }
-    stage.workers.get_mut(&first).expect("known").is_full = true;
-    stage.advance(1_500);
-    assert_eq!(stage.alive(key), 1, "it runs elsewhere");
-    stage.deliver_late(&first);
-    assert_eq!(stage.alive(key), 1);
+    sim.workers.get_mut(&first).expect("known").is_full = true;
+    sim.advance(1_500);
+    assert_eq!(sim.alive(key), 1, "it runs elsewhere");
+    sim.deliver_late(&first);
+    assert_eq!(sim.alive(key), 1);
 }
 
 /// A worker's answers are lost, and what is sent to it arrives. Renewals that prolonged its leases
 /// would do so for ever, and its tasks could never be started elsewhere.
 #[test]
 fn leases_of_a_worker_that_does_not_answer_are_not_prolonged() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    stage.submit(1, job(vec![step(1)]));
-    stage.advance(500);
-    stage.workers.get_mut("w1").expect("a worker").is_silent = true;
-    stage.advance(1_000);
-    let prolonged = stage.leases.len();
-    stage.advance(2_000);
-    assert_eq!(stage.leases.len(), prolonged);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    sim.submit(1, job(vec![step(1)]));
+    sim.advance(500);
+    sim.workers.get_mut("w1").expect("a worker").is_silent = true;
+    sim.advance(1_000);
+    let prolonged = sim.leases.len();
+    sim.advance(2_000);
+    assert_eq!(sim.leases.len(), prolonged);
 }
 
 /// A successor has raised its token on a worker or a VM. The old leader learns it by the first refusal
 /// and must command nothing any more: what it believes is out of date from then on.
 #[test]
 fn a_refused_token_ends_the_leadership() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
-    let id = stage.submit(1, job(vec![step(1)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
+    let id = sim.submit(1, job(vec![step(1)]));
     let fenced = CommandOutcome::Refused(CommandRefusal::Fenced, None);
-    stage.scheduler.handle_start_outcome(&"w1".into(), &task(id, 0, 0), 1, &fenced, stage.now);
-    assert!(stage.scheduler.is_deposed());
-    stage.scheduler.tick(stage.now + 100, 0);
-    assert!(
-        stage.scheduler.take_actions().iter().all(|action| {
-            matches!(action, SchedulerAction::Note(_) | SchedulerAction::Wake(_))
-        })
-    );
-    assert!(stage.scheduler.take_commit().is_none());
-
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1")]);
+    sim.scheduler.handle_start_outcome(&"w1".into(), &task(id, 0, 0), 1, &fenced, sim.now);
+    assert!(sim.scheduler.is_deposed());
+    sim.scheduler.tick(sim.now + 100, 0);
+    assert!(sim.scheduler.take_actions().iter().all(|action| {
+        matches!(action, SchedulerAction::Event(_) | SchedulerAction::RenewNow(_))
+    }));
+    assert!(sim.scheduler.take_commit().is_none());
+
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let command = VmCommand::Assign { vm: "m-1".into(), pool: "helpers".into() };
-    stage.scheduler.vm_commanded(&command, VmOutcome::Fenced, stage.now);
-    assert!(stage.scheduler.is_deposed());
+    sim.scheduler.vm_commanded(&command, VmOutcome::Fenced, sim.now);
+    assert!(sim.scheduler.is_deposed());
 }
 
 /// The same task under leaders that change: each that began the count anew would move it twice more, and throw
 /// its work away each time. The count is on the log with the run.
 #[test]
 fn moves_of_a_slow_task_are_counted_over_changes_of_leaders() {
-    let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let id = stage.submit(1, job(vec![step(4)]));
+    let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+    let id = sim.submit(1, job(vec![step(4)]));
     let large = task(id, 0, 3);
-    stage.advance(1_000);
+    sim.advance(1_000);
     for index in 0..3 {
-        stage.end(task(id, 0, index), ExitKind::Done);
+        sim.end(task(id, 0, index), ExitKind::Done);
     }
     for term in 2..6 {
-        stage.take_over(term, config());
+        sim.take_over(term, config());
         for _ in 0..100 {
-            stage.progress(large, 2, 100);
+            sim.progress(large, 2, 100);
         }
     }
-    assert!(stage.starts(large) <= 3, "{} starts", stage.starts(large));
-    assert_eq!(stage.alive(large), 1);
+    assert!(sim.starts(large) <= 3, "{} starts", sim.starts(large));
+    assert_eq!(sim.alive(large), 1);
 }
--- a/tests/scheduler_silence.rs
+++ b/tests/scheduler_silence.rs
@@ -7,39 +7,41 @@
 use ibisweir::jobs::model::{ExitKind, JobId, JobState};
 use ibisweir::jobs::ports::{CommandOutcome, RenewCall, RunningTask, VmCommand, WorkerReport};
 use ibisweir::scheduler::renewals::RenewPlan;
-use support::stage::{POOL, STANDBY, Stage, config, job, service_step, step, task, vm, worker};
+use support::sim::{
+    POOL, STANDBY, SchedulerSim, config, job, service_step, step, task, vm, worker,
+};
 
 /// Longer than every lease that a worker can have.
 const LEASES_MS: u64 = 6_400;
 
 /// A task on a worker that falls silent and ends it with `kind`; its leases run out, and the task starts
 /// again on another worker, if `has_other`.
-fn given_up(kind: ExitKind, has_other: bool) -> (Stage, JobId) {
+fn given_up(kind: ExitKind, has_other: bool) -> (SchedulerSim, JobId) {
     let pool = match has_other {
         true => vec![worker("w0", "r0"), worker("w1", "r1")],
         false => vec![worker("w0", "r0")],
     };
-    let mut stage = Stage::open(config(), pool.clone());
+    let mut sim = SchedulerSim::open(config(), pool.clone());
     let vms = pool.iter().map(|worker| vm(worker, POOL)).collect();
-    stage.scheduler.take_vms(vms, stage.now, stage.now);
-    let id = stage.submit(1, job(vec![step(1)]));
-    assert_eq!(&*stage.place(task(id, 0, 0)), "w0");
-    let w0 = stage.workers.get_mut("w0").expect("known");
+    sim.scheduler.update_vms(vms, sim.now, sim.now);
+    let id = sim.submit(1, job(vec![step(1)]));
+    assert_eq!(&*sim.place(task(id, 0, 0)), "w0");
+    let w0 = sim.workers.get_mut("w0").expect("known");
     w0.is_silent = true;
     w0.exit(task(id, 0, 0), 1, kind);
-    stage.advance(LEASES_MS);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1 + usize::from(has_other));
-    (stage, id)
+    sim.advance(LEASES_MS);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1 + usize::from(has_other));
+    (sim, id)
 }
 
-fn answer_again(stage: &mut Stage) {
-    stage.workers.get_mut("w0").expect("known").is_silent = false;
-    stage.advance(1_000);
+fn answer_again(sim: &mut SchedulerSim) {
+    sim.workers.get_mut("w0").expect("known").is_silent = false;
+    sim.advance(1_000);
 }
 
 /// Whether the worker was told that it may forget all its exits.
-fn has_forgotten(stage: &Stage) -> bool {
-    stage.workers["w0"].exits.is_empty()
+fn has_forgotten(sim: &SchedulerSim) -> bool {
+    sim.workers["w0"].exits.is_empty()
 }
 
 /// A worker can't be reached and its task is done there, which nobody hears. The leases run out, and the
@@ -47,85 +49,85 @@
 /// once as long as that end never counts: it is not acknowledged, and the second run completes the job.
 #[test]
 fn an_end_that_was_heard_of_too_late_is_never_acknowledged() {
-    let (mut stage, id) = given_up(ExitKind::Done, true);
-    answer_again(&mut stage);
-    assert!(!has_forgotten(&stage));
-    assert_eq!(stage.state(id), Some(JobState::Running));
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(2_000);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
-    assert!(!has_forgotten(&stage));
-    assert_eq!(stage.starts(task(id, 0, 0)), 2);
+    let (mut sim, id) = given_up(ExitKind::Done, true);
+    answer_again(&mut sim);
+    assert!(!has_forgotten(&sim));
+    assert_eq!(sim.state(id), Some(JobState::Running));
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(2_000);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
+    assert!(!has_forgotten(&sim));
+    assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
 /// The same with a run that failed: acknowledged, it would count as one attempt more than the task may
 /// have had when it was started again.
 #[test]
 fn a_failure_that_was_heard_of_too_late_is_never_acknowledged() {
-    let (mut stage, id) = given_up(ExitKind::Failed, true);
-    answer_again(&mut stage);
-    assert!(!has_forgotten(&stage));
-    assert_eq!(stage.state(id), Some(JobState::Running));
+    let (mut sim, id) = given_up(ExitKind::Failed, true);
+    answer_again(&mut sim);
+    assert!(!has_forgotten(&sim));
+    assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
 /// The same, but the worker answers when the job is over and out of memory: the end still may not count.
 #[test]
 fn an_end_is_not_acknowledged_after_its_job_is_over_either() {
-    let (mut stage, id) = given_up(ExitKind::Done, true);
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(1_000);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
-    answer_again(&mut stage);
-    assert!(!has_forgotten(&stage));
+    let (mut sim, id) = given_up(ExitKind::Done, true);
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(1_000);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
+    answer_again(&mut sim);
+    assert!(!has_forgotten(&sim));
 }
 
 /// The same, but another leader has taken over meanwhile: the log shows it that a later run was started.
 #[test]
 fn a_successor_does_not_acknowledge_it_either() {
-    let (mut stage, id) = given_up(ExitKind::Done, true);
-    stage.take_over(2, config());
-    answer_again(&mut stage);
-    assert!(!has_forgotten(&stage));
-    assert_eq!(stage.starts(task(id, 0, 0)), 2);
+    let (mut sim, id) = given_up(ExitKind::Done, true);
+    sim.take_over(2, config());
+    answer_again(&mut sim);
+    assert!(!has_forgotten(&sim));
+    assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
 /// The task was not started again, for want of a worker. Then the end counts: the job is completed, and the
 /// task does not run a second time.
 #[test]
 fn an_end_counts_if_its_task_was_not_started_again() {
-    let (mut stage, id) = given_up(ExitKind::Done, false);
-    answer_again(&mut stage);
-    assert!(has_forgotten(&stage));
-    assert_eq!(stage.state(id), Some(JobState::Completed));
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
+    let (mut sim, id) = given_up(ExitKind::Done, false);
+    answer_again(&mut sim);
+    assert!(has_forgotten(&sim));
+    assert_eq!(sim.state(id), Some(JobState::Completed));
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
 /// A worker whose ends can't be acknowledged lists them all again in each report, and its list is bounded.
 /// It takes no new work, and its VM is moved to begin another life.
 #[test]
 fn a_worker_that_can_not_be_acknowledged_begins_another_life() {
-    let (mut stage, _) = given_up(ExitKind::Done, true);
+    let (mut sim, _) = given_up(ExitKind::Done, true);
     let vms = [worker("w0", "r0"), worker("w1", "r1")];
-    stage.scheduler.take_vms(vms.iter().map(|w| vm(w, POOL)).collect(), stage.now, stage.now);
-    answer_again(&mut stage);
-    let other = stage.submit(2, job(vec![step(7)]));
-    stage.advance(200);
-    let is_on_w1 = |index| &*stage.place(task(other, 0, index)) == "w1";
+    sim.scheduler.update_vms(vms.iter().map(|w| vm(w, POOL)).collect(), sim.now, sim.now);
+    answer_again(&mut sim);
+    let other = sim.submit(2, job(vec![step(7)]));
+    sim.advance(200);
+    let is_on_w1 = |index| &*sim.place(task(other, 0, index)) == "w1";
     assert!((0..7).all(is_on_w1));
     let moved = VmCommand::Assign { vm: "m-w0".into(), pool: STANDBY.into() };
-    assert!(stage.vm_commands.contains(&moved), "{:?}", stage.vm_commands);
+    assert!(sim.vm_commands.contains(&moved), "{:?}", sim.vm_commands);
 }
 
 /// The same where its VM can't be moved now, as the VM list is old. It still takes no new work, though it has room:
 /// what would end there could never be acknowledged.
 #[test]
 fn a_worker_that_can_not_be_acknowledged_takes_no_new_work() {
-    let (mut stage, _) = given_up(ExitKind::Done, true);
-    answer_again(&mut stage);
-    let other = stage.submit(2, job(vec![step(15)]));
-    stage.advance(200);
-    assert_eq!((0..15).filter(|index| stage.alive(task(other, 0, *index)) > 0).count(), 7);
-    assert!(stage.workers["w0"].running.is_empty());
+    let (mut sim, _) = given_up(ExitKind::Done, true);
+    answer_again(&mut sim);
+    let other = sim.submit(2, job(vec![step(15)]));
+    sim.advance(200);
+    assert_eq!((0..15).filter(|index| sim.alive(task(other, 0, *index)) > 0).count(), 7);
+    assert!(sim.workers["w0"].running.is_empty());
 }
 
 /// A renewal that has reached its worker; the answer is on its way.
@@ -139,24 +141,24 @@
 
 /// Renews the leases of `w0`, whose answers take so long, as a lane does: one call at a time, while the answers of those
 /// that were given up are read on.
-fn renew_slowly(stage: &mut Stage, delay_ms: u64, ms: u64) {
+fn renew_slowly(sim: &mut SchedulerSim, delay_ms: u64, ms: u64) {
     let id: Arc<str> = "w0".into();
     let (mut open, mut late): (Option<SlowRenewal>, Vec<SlowRenewal>) = (None, Vec::new());
-    stage.mutes_renewals = true;
+    sim.are_renewals_muted = true;
     for _ in 0..ms / 10 {
-        stage.advance(10);
-        let now = stage.now;
+        sim.advance(10);
+        let now = sim.now;
         let (answered, waiting): (Vec<_>, Vec<_>) =
             late.into_iter().partition(|renewal| renewal.answered_ms <= now);
         late = waiting;
         for renewal in answered {
             let SlowRenewal { call, report, sent_ms, .. } = renewal;
-            stage.scheduler.handle_late_renewal(&id, &call, report, sent_ms, now);
+            sim.scheduler.handle_late_renewal(&id, &call, report, sent_ms, now);
         }
         match open.take() {
             Some(renewal) if renewal.answered_ms <= now => {
                 let outcome = CommandOutcome::Done(renewal.report);
-                stage.scheduler.handle_renewal_outcome(
+                sim.scheduler.handle_renewal_outcome(
                     &id,
                     &renewal.call,
                     outcome,
@@ -166,7 +168,7 @@
             }
             Some(renewal) if renewal.given_up_ms <= now => {
                 let outcome = CommandOutcome::Unknown;
-                stage.scheduler.handle_renewal_outcome(
+                sim.scheduler.handle_renewal_outcome(
                     &id,
                     &renewal.call,
                     outcome,
@@ -180,10 +182,10 @@
         if open.is_some() {
             continue;
         }
-        let RenewPlan::Call(_, call, patience) = stage.scheduler.renew_plan(&id, now) else {
+        let RenewPlan::Call(_, call, patience) = sim.scheduler.renew_plan(&id, now) else {
             continue;
         };
-        let host = stage.workers.get_mut(&id).expect("known");
+        let host = sim.workers.get_mut(&id).expect("known");
         host.lease_until_ms = host.lease_until_ms.max(call.lease_until_ms.unwrap_or(0));
         let running = host.running.keys().map(|(task, run)| RunningTask {
             task: *task,
@@ -215,13 +217,13 @@
 fn leases_last_where_every_answer_comes_late() {
     let mut starts = Vec::new();
     for delay_ms in [100, 350, 420, 500, 600, 700, 800, 1_000] {
-        let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-        let id = stage.submit(1, job(vec![service_step(1)]));
+        let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+        let id = sim.submit(1, job(vec![service_step(1)]));
         let key = task(id, 0, 0);
-        stage.advance(1_000);
-        assert_eq!(stage.alive(key), 1);
-        renew_slowly(&mut stage, delay_ms, 30_000);
-        starts.push((delay_ms, stage.starts(key)));
+        sim.advance(1_000);
+        assert_eq!(sim.alive(key), 1);
+        renew_slowly(&mut sim, delay_ms, 30_000);
+        starts.push((delay_ms, sim.starts(key)));
     }
     assert!(starts.iter().all(|(_, starts)| *starts == 1), "delay in ms, starts: {starts:?}");
 }
@@ -229,21 +231,21 @@
 /// Guards against leases without end under a worker that has gone silent after answers that came late.
 #[test]
 fn leases_run_out_once_late_answers_stop() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.submit(1, job(vec![service_step(1)]));
-    stage.advance(1_000);
-    renew_slowly(&mut stage, 600, 5_000);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.submit(1, job(vec![service_step(1)]));
+    sim.advance(1_000);
+    renew_slowly(&mut sim, 600, 5_000);
     let (id, mut lease_until_ms): (Arc<str>, _) = ("w0".into(), None);
     for _ in 0..300 {
-        stage.advance(10);
-        if let RenewPlan::Call(_, call, _) = stage.scheduler.renew_plan(&id, stage.now) {
+        sim.advance(10);
+        if let RenewPlan::Call(_, call, _) = sim.scheduler.renew_plan(&id, sim.now) {
             lease_until_ms = call.lease_until_ms;
-            stage.scheduler.handle_renewal_outcome(
+            sim.scheduler.handle_renewal_outcome(
                 &id,
                 &call,
                 CommandOutcome::Unknown,
-                stage.now,
-                stage.now,
+                sim.now,
+                sim.now,
             );
         }
     }
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -24,7 +24,7 @@
 use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerStart};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::stage::{
+use support::sim::{
     POOL, WALL_OFFSET_MS, bounds, config, job, job_id, service_step, step, submission, task, vm,
     worker,
 };
@@ -451,13 +451,15 @@
         };
         for action in actions {
             match action {
-                SchedulerAction::Send(target, key, run) => {
+                SchedulerAction::SendCommand(target, key, run) => {
                     let lane_ms = if self.happens(8) { 700 } else { 20 };
                     let ms = self.random.random_range(0..lane_ms);
                     self.later(ms, ModelEvent::Send(term, target.id, key, run));
                 }
-                SchedulerAction::Stop(target, call) => self.send_stop(term, &target.id, call),
-                SchedulerAction::Watch(target) => {
+                SchedulerAction::StopUntracked(target, call) => {
+                    self.send_stop(term, &target.id, call)
+                }
+                SchedulerAction::StartRenewals(target) => {
                     if let Some(leader) = self.leader(term) {
                         leader.watched.insert(target.id);
                     }
@@ -465,13 +467,13 @@
                 SchedulerAction::Throttle(_, call, _) => {
                     self.with(term, |scheduler, _| scheduler.handle_throttle_outcome(&call, true));
                 }
-                SchedulerAction::Note(_)
-                | SchedulerAction::Wake(_)
-                | SchedulerAction::Forget(_)
+                SchedulerAction::Event(_)
+                | SchedulerAction::RenewNow(_)
+                | SchedulerAction::CancelCalls(_)
                 | SchedulerAction::ListVms
                 | SchedulerAction::CommandVm(..)
-                | SchedulerAction::TellWave(..)
-                | SchedulerAction::AskPermits(..) => {}
+                | SchedulerAction::PublishWaveStatus(..)
+                | SchedulerAction::RequestPermits(..) => {}
             }
         }
         self.take_batch(term);
@@ -508,7 +510,7 @@
             return;
         }
         leader.is_committing = false;
-        for record in &batch.folded {
+        for record in &batch.decoded {
             self.book.fold(record, self.end);
             self.end += 1;
         }
@@ -681,8 +683,8 @@
             config: Arc::new(one_pool()),
             predecessor: (term > 1).then_some(LeaderTrace { seen_ms, end }),
             confirmed_ms: self.now,
-            jobs_ms: self.now,
-            rooms_ms: self.now,
+            jobs_read_ms: self.now,
+            workers_read_ms: self.now,
             now: self.now,
             wall_ms: WALL_OFFSET_MS + self.now,
         };
@@ -736,7 +738,7 @@
                 }
             }
             44..48 => self.lose_leader(),
-            48..49 => self.begin_anew(position),
+            48..49 => self.restart_worker(position),
             49..51 => self.list_or_unlist(position),
             55..60 => self.list_vms(),
             60..80 => self.end_some(position),
@@ -758,7 +760,7 @@
         self.keys.extend((0..count).map(|index| task(id, 0, index)));
         if self.book.fold(&record, self.end) {
             for leader in self.leaders.iter_mut().filter(|leader| leader.reaches_log) {
-                leader.scheduler.take_record(&record, self.now);
+                leader.scheduler.apply_record(&record, self.now);
             }
         }
         self.end += 1;
@@ -778,7 +780,7 @@
     }
 
     /// A worker begins anew under its name; leaders read of it a moment later.
-    fn begin_anew(&mut self, position: usize) {
+    fn restart_worker(&mut self, position: usize) {
         self.births += 1;
         let (now, slow_percent) = (self.now, self.workers[position].slow_percent);
         let before = &self.workers[position].entry;
@@ -815,7 +817,7 @@
         };
         let vms: Vec<VmEntry> = self.workers.iter().map(named).collect();
         for leader in &mut self.leaders {
-            leader.scheduler.take_vms(vms.clone(), self.now, self.now);
+            leader.scheduler.update_vms(vms.clone(), self.now, self.now);
         }
     }
 
--- a/tests/service_return.rs
+++ b/tests/service_return.rs
@@ -8,15 +8,15 @@
 use ibisweir::jobs::model::{JobId, ResourceVector, StepSpec, TaskKey};
 use ibisweir::jobs::record::JobRecord;
 use ibisweir::jobs::site::{SiteConfig, VmState, WorkerEntry};
-use ibisweir::scheduler::SchedulerNote;
-use support::stage::{POOL, Stage, config, job, service_step, step, task, vm, worker};
+use ibisweir::scheduler::SchedulerEvent;
+use support::sim::{POOL, SchedulerSim, config, job, service_step, step, task, vm, worker};
 
 /// Longest time for which a service may be away, as is promised.
 const AWAY_MAX_MS: u64 = 9_000;
 
 /// Workers, and the services on them whose times away are measured.
 struct ReturnScene {
-    stage: Stage,
+    sim: SchedulerSim,
     pool: Vec<WorkerEntry>,
     services: Vec<TaskKey>,
     /// When each was last at work.
@@ -39,9 +39,9 @@
     fn open_with(config: SiteConfig, workers: usize) -> ReturnScene {
         let name = |n: usize| worker(&format!("w{n}"), &format!("r{}", n / 4));
         let pool: Vec<WorkerEntry> = (0..workers).map(name).collect();
-        let stage = Stage::open(config, pool.clone());
+        let sim = SchedulerSim::open(config, pool.clone());
         let (services, seen_ms) = (Vec::new(), BTreeMap::new());
-        let mut scene = ReturnScene { stage, pool, services, seen_ms, worst_ms: 0 };
+        let mut scene = ReturnScene { sim, pool, services, seen_ms, worst_ms: 0 };
         scene.list_vms(&[]);
         scene
     }
@@ -55,23 +55,23 @@
             vm
         };
         let vms = self.pool.iter().map(listed).collect();
-        self.stage.scheduler.take_vms(vms, self.stage.now, self.stage.now);
-        self.stage.pump();
+        self.sim.scheduler.update_vms(vms, self.sim.now, self.sim.now);
+        self.sim.run_until_idle();
     }
 
     /// Hands in a service of so many tasks.
     fn serve(&mut self, id: u64, spec: StepSpec) -> Vec<TaskKey> {
         let count = spec.count;
-        let id = self.stage.submit(id, job(vec![spec]));
+        let id = self.sim.submit(id, job(vec![spec]));
         let keys: Vec<TaskKey> = (0..count).map(|index| task(id, 0, index)).collect();
         self.services.extend(&keys);
-        self.seen_ms.extend(keys.iter().map(|key| (*key, self.stage.now)));
+        self.seen_ms.extend(keys.iter().map(|key| (*key, self.sim.now)));
         keys
     }
 
     /// Workers that run services.
     fn hosts(&self) -> Vec<Arc<str>> {
-        let mut hosts: Vec<_> = self.services.iter().map(|key| self.stage.place(*key)).collect();
+        let mut hosts: Vec<_> = self.services.iter().map(|key| self.sim.place(*key)).collect();
         hosts.sort();
         hosts.dedup();
         hosts
@@ -80,7 +80,7 @@
     /// VMs lose power and stay off, as the list shows half a second later.
     fn power_off(&mut self, ids: &[Arc<str>]) {
         for id in ids {
-            let worker = self.stage.workers.get_mut(id).expect("known");
+            let worker = self.sim.workers.get_mut(id).expect("known");
             worker.is_silent = true;
             worker.running.clear();
         }
@@ -90,15 +90,15 @@
 
     /// Lets the time go on, with everything that runs at work.
     fn advance(&mut self, ms: u64) {
-        let end = self.stage.now + ms;
-        while self.stage.now < end {
-            self.stage.advance(20);
-            for worker in self.stage.workers.values_mut() {
+        let end = self.sim.now + ms;
+        while self.sim.now < end {
+            self.sim.advance(20);
+            for worker in self.sim.workers.values_mut() {
                 worker.running.values_mut().for_each(|percent| *percent = 100);
             }
-            let now = self.stage.now;
+            let now = self.sim.now;
             for key in &self.services {
-                let runs = self.stage.alive(*key);
+                let runs = self.sim.alive(*key);
                 assert!(runs <= 1, "{key} runs twice");
                 if runs == 1 {
                     self.seen_ms.insert(*key, now);
@@ -109,7 +109,7 @@
     }
 
     fn cancel(&mut self, id: JobId) {
-        self.stage.append(&JobRecord::Cancelled(id));
+        self.sim.append(&JobRecord::Cancelled(id));
     }
 }
 
@@ -127,12 +127,12 @@
 fn refuse_for_a_while(scene: &mut ReturnScene) {
     let set = |scene: &mut ReturnScene, is_unhealthy| {
         for id in ["w0", "w1"] {
-            scene.stage.workers.get_mut(id).expect("known").is_unhealthy = is_unhealthy;
+            scene.sim.workers.get_mut(id).expect("known").is_unhealthy = is_unhealthy;
         }
     };
     set(scene, true);
     let need = ResourceVector { cpu: 4_000, memory: 1_000, accelerators: 0 };
-    let batch = scene.stage.submit(1, job(vec![StepSpec { need, ..filling(6) }]));
+    let batch = scene.sim.submit(1, job(vec![StepSpec { need, ..filling(6) }]));
     scene.advance(1_000);
     set(scene, false);
     scene.cancel(batch);
@@ -169,19 +169,19 @@
         let mut scene = ReturnScene::open_without_standby(3);
         let key = scene.serve(2, serving(1))[0];
         scene.advance(1_000);
-        let lost = scene.stage.place(key);
-        scene.stage.lane_is_slow = !is_sent;
-        scene.stage.workers.values_mut().for_each(|worker| worker.is_late = is_sent);
+        let lost = scene.sim.place(key);
+        scene.sim.is_lane_held = !is_sent;
+        scene.sim.workers.values_mut().for_each(|worker| worker.is_late = is_sent);
         scene.power_off(&[lost]);
         scene.advance(300);
-        let placed = scene.stage.notes.iter().rev().find_map(|note| match note {
-            SchedulerNote::Placed { worker, .. } => Some(worker.clone()),
+        let placed = scene.sim.events.iter().rev().find_map(|note| match note {
+            SchedulerEvent::Placed { worker, .. } => Some(worker.clone()),
             _ => None,
         });
-        scene.stage.scheduler.worker_unlisted(&placed.expect("it was placed"), scene.stage.now);
-        scene.stage.lane_is_slow = false;
-        scene.stage.workers.values_mut().for_each(|worker| worker.is_late = false);
-        scene.stage.empty_lanes();
+        scene.sim.scheduler.worker_unlisted(&placed.expect("it was placed"), scene.sim.now);
+        scene.sim.is_lane_held = false;
+        scene.sim.workers.values_mut().for_each(|worker| worker.is_late = false);
+        scene.sim.empty_lanes();
         scene.advance(2 * AWAY_MAX_MS);
         assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms, sent: {is_sent}", scene.worst_ms);
     }
@@ -193,11 +193,11 @@
 fn services_that_are_lost_together_displace_others_together() {
     for steps in [1, 64] {
         let mut scene = ReturnScene::open(20);
-        scene.stage.workers.values_mut().for_each(|worker| worker.stop_ms = 200);
+        scene.sim.workers.values_mut().for_each(|worker| worker.stop_ms = 200);
         for id in 0..steps {
             scene.serve(100 + id, serving(64 / u32::try_from(steps).expect("few")));
         }
-        scene.stage.submit(1, job(vec![filling(160)]));
+        scene.sim.submit(1, job(vec![filling(160)]));
         scene.advance(2_000);
         let hosts = scene.hosts();
         assert_eq!(hosts.len(), 8, "there is room for all of them elsewhere");
@@ -213,12 +213,12 @@
     for lossy in [1, 4] {
         let mut scene = ReturnScene::open(6);
         scene.serve(2, serving(2));
-        scene.stage.submit(1, job(vec![filling(48)]));
+        scene.sim.submit(1, job(vec![filling(48)]));
         scene.advance(2_000);
         let hosts = scene.hosts();
         let is_other = |(id, _): &(&Arc<str>, _)| !hosts.contains(id);
-        let others = scene.stage.workers.iter_mut().filter(is_other).take(lossy);
-        others.for_each(|(_, worker)| worker.loses_stops = true);
+        let others = scene.sim.workers.iter_mut().filter(is_other).take(lossy);
+        others.for_each(|(_, worker)| worker.are_stops_lost = true);
         scene.power_off(&hosts);
         scene.advance(2 * AWAY_MAX_MS);
         assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms, {lossy} of 5", scene.worst_ms);
@@ -234,9 +234,9 @@
         scene.serve(2, service_step(count + 1));
         let keys = scene.serve(3, serving(2));
         scene.advance(2_000);
-        let lost = scene.stage.place(keys[0]);
+        let lost = scene.sim.place(keys[0]);
         for id in scene.hosts().iter().filter(|id| **id != lost) {
-            scene.stage.workers.get_mut(id).expect("known").is_full = true;
+            scene.sim.workers.get_mut(id).expect("known").is_full = true;
         }
         scene.power_off(&[lost]);
         scene.advance(2 * AWAY_MAX_MS);
@@ -248,14 +248,14 @@
 #[test]
 fn room_that_a_service_does_not_take_is_left_to_others() {
     let pool = [("w1", "r1"), ("w2", "r2")].map(|(name, rack)| worker(name, rack));
-    let mut stage = Stage::open(config(), pool.into());
+    let mut sim = SchedulerSim::open(config(), pool.into());
     let near = StepSpec { data_rack: Some("r1".into()), estimate_ms: 60_000, ..serving(8) };
-    stage.submit(1, job(vec![near.clone()]));
-    stage.advance(500);
-    stage.submit(2, job(vec![near]));
-    let usual = stage.submit(3, job(vec![step(8)]));
-    stage.advance(1_000);
-    let started = (0..8).filter(|index| stage.alive(task(usual, 0, *index)) > 0).count();
+    sim.submit(1, job(vec![near.clone()]));
+    sim.advance(500);
+    sim.submit(2, job(vec![near]));
+    let usual = sim.submit(3, job(vec![step(8)]));
+    sim.advance(1_000);
+    let started = (0..8).filter(|index| sim.alive(task(usual, 0, *index)) > 0).count();
     assert_eq!(started, 8, "the far worker is empty");
 }
 
@@ -265,19 +265,19 @@
     for estimate_ms in [1_000, 60_000] {
         let pool =
             [("w1", "r1"), ("w2", "r2"), ("w3", "r2")].map(|(name, rack)| worker(name, rack));
-        let mut stage = Stage::open(config(), pool.into());
+        let mut sim = SchedulerSim::open(config(), pool.into());
         let data_rack = Some("r1".into());
-        let id = stage.submit(1, job(vec![StepSpec { data_rack, estimate_ms, ..service_step(1) }]));
+        let id = sim.submit(1, job(vec![StepSpec { data_rack, estimate_ms, ..service_step(1) }]));
         let key = task(id, 0, 0);
         // Long enough not to count as a loss at its start.
         for _ in 0..100 {
-            stage.advance(100);
-            let host = stage.workers.get_mut("w1").expect("known");
+            sim.advance(100);
+            let host = sim.workers.get_mut("w1").expect("known");
             host.running.values_mut().for_each(|percent| *percent = 100);
         }
-        assert_eq!(&*stage.place(key), "w1");
-        stage.workers.get_mut("w1").expect("known").is_silent = true;
-        stage.advance(AWAY_MAX_MS);
-        assert_eq!(stage.starts(key), 2, "estimated at {estimate_ms} ms");
+        assert_eq!(&*sim.place(key), "w1");
+        sim.workers.get_mut("w1").expect("known").is_silent = true;
+        sim.advance(AWAY_MAX_MS);
+        assert_eq!(sim.starts(key), 2, "estimated at {estimate_ms} ms");
     }
 }
--- a/tests/service_waits.rs
+++ b/tests/service_waits.rs
@@ -3,17 +3,17 @@
 mod support;
 
 use ibisweir::jobs::model::{JobId, StepSpec};
-use ibisweir::scheduler::SchedulerNote;
-use support::stage::{Stage, config, job, service_step, task, worker};
+use ibisweir::scheduler::SchedulerEvent;
+use support::sim::{SchedulerSim, config, job, service_step, task, worker};
 
-fn two_workers() -> Stage {
-    Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")])
+fn two_workers() -> SchedulerSim {
+    SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")])
 }
 
 /// Reasons that were written down for the first task of a job, in order.
-fn reasons(stage: &Stage, id: JobId) -> Vec<&'static str> {
-    let told = stage.notes.iter().filter_map(|note| match note {
-        SchedulerNote::ServiceAway { task: told, reason, .. } if *told == task(id, 0, 0) => {
+fn reasons(sim: &SchedulerSim, id: JobId) -> Vec<&'static str> {
+    let told = sim.events.iter().filter_map(|note| match note {
+        SchedulerEvent::ServiceAway { task: told, reason, .. } if *told == task(id, 0, 0) => {
             Some(*reason)
         }
         _ => None,
@@ -22,10 +22,10 @@
 }
 
 /// Lets time pass, and every run get to its full work.
-fn serve(stage: &mut Stage, ms: u64) {
+fn serve(sim: &mut SchedulerSim, ms: u64) {
     for _ in 0..ms / 100 {
-        stage.advance(100);
-        for worker in stage.workers.values_mut() {
+        sim.advance(100);
+        for worker in sim.workers.values_mut() {
             worker.running.values_mut().for_each(|percent| *percent = 100);
         }
     }
@@ -33,20 +33,20 @@
 
 #[test]
 fn a_service_at_work_has_no_line() {
-    let mut stage = two_workers();
-    let id = stage.submit(1, job(vec![service_step(1)]));
-    serve(&mut stage, 10_000);
-    assert!(reasons(&stage, id).is_empty(), "{:?}", reasons(&stage, id));
+    let mut sim = two_workers();
+    let id = sim.submit(1, job(vec![service_step(1)]));
+    serve(&mut sim, 10_000);
+    assert!(reasons(&sim, id).is_empty(), "{:?}", reasons(&sim, id));
 }
 
 /// Guards against services that are placed and never start without a word of why.
 #[test]
 fn a_start_that_the_log_does_not_have_is_told_of() {
-    let mut stage = two_workers();
-    stage.log_is_up = false;
-    let id = stage.submit(1, job(vec![service_step(1)]));
-    serve(&mut stage, 6_000);
-    let told = reasons(&stage, id);
+    let mut sim = two_workers();
+    sim.is_log_up = false;
+    let id = sim.submit(1, job(vec![service_step(1)]));
+    serve(&mut sim, 6_000);
+    let told = reasons(&sim, id);
     assert!(!told.is_empty());
     assert!(told.iter().all(|reason| *reason == "its record is not on the log"), "{told:?}");
     assert!(told.len() <= 3, "a line each two seconds at most: {told:?}");
@@ -55,30 +55,30 @@
 /// Guards against services that find no place without a word of why.
 #[test]
 fn a_service_without_room_is_told_of() {
-    let mut stage = two_workers();
+    let mut sim = two_workers();
     let mut large = service_step(1);
     large.need.cpu = 9_000;
-    let id = stage.submit(1, job(vec![large]));
-    serve(&mut stage, 4_000);
-    assert_eq!(reasons(&stage, id), ["no worker has room"]);
+    let id = sim.submit(1, job(vec![large]));
+    serve(&mut sim, 4_000);
+    assert_eq!(reasons(&sim, id), ["no worker has room"]);
 }
 
 /// Guards against services that wait on trial or for a probation, and look like ones without room.
 #[test]
 fn services_on_trial_are_told_of_as_such() {
     let entries = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{n}")));
-    let mut stage = Stage::open(config(), entries.collect());
+    let mut sim = SchedulerSim::open(config(), entries.collect());
     let small = StepSpec { per_worker_max: 0, ..service_step(1) };
-    let ids: Vec<JobId> = (1..=6).map(|n| stage.submit(n, job(vec![small.clone()]))).collect();
-    serve(&mut stage, 1_000);
+    let ids: Vec<JobId> = (1..=6).map(|n| sim.submit(n, job(vec![small.clone()]))).collect();
+    serve(&mut sim, 1_000);
     for _ in 0..3 {
-        let hosts = stage.workers.iter().filter(|(_, worker)| !worker.running.is_empty());
+        let hosts = sim.workers.iter().filter(|(_, worker)| !worker.running.is_empty());
         let hosts: Vec<String> = hosts.map(|(id, _)| id.to_string()).collect();
-        stage.crash_all(&hosts.iter().map(String::as_str).collect::<Vec<_>>());
-        serve(&mut stage, 2_000);
+        sim.crash_all(&hosts.iter().map(String::as_str).collect::<Vec<_>>());
+        serve(&mut sim, 2_000);
     }
-    serve(&mut stage, 8_000);
-    let told: Vec<&str> = ids.iter().flat_map(|id| reasons(&stage, *id)).collect();
+    serve(&mut sim, 8_000);
+    let told: Vec<&str> = ids.iter().flat_map(|id| reasons(&sim, *id)).collect();
     assert!(!told.is_empty());
     let is_trial = |reason: &&str| {
         matches!(
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -7,21 +7,21 @@
 use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{ExitKind, JobState};
 use ibisweir::jobs::record::JobRecord;
-use support::stage::{Stage, config, job, job_id, step, submission, task, worker};
+use support::sim::{SchedulerSim, config, job, job_id, step, submission, task, worker};
 
 /// A job that is over, and all that the log has of it after a while.
-fn over() -> (Stage, Vec<(u64, JobRecord)>) {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.end(task(id, 0, 0), ExitKind::Done);
-    stage.advance(1_000);
-    assert_eq!(stage.state(id), Some(JobState::Completed));
-    let entry = stage.book.get(id).expect("known");
+fn over() -> (SchedulerSim, Vec<(u64, JobRecord)>) {
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.end(task(id, 0, 0), ExitKind::Done);
+    sim.advance(1_000);
+    assert_eq!(sim.state(id), Some(JobState::Completed));
+    let entry = sim.book.get(id).expect("known");
     let submission = entry.submission.clone().expect("submitted");
     let progress = entry.progress.clone().expect("it was begun");
     let newest =
         vec![(8, JobRecord::Progress(id, progress)), (9, JobRecord::Submitted(id, submission))];
-    (stage, newest)
+    (sim, newest)
 }
 
 /// An entry restarts on a narrow link and reads the newest record of each key. Of jobs that are over it needs the
@@ -44,43 +44,43 @@
 /// submission, with its spec, comes seconds later.
 #[test]
 fn a_successor_starts_nothing_of_a_job_without_its_spec() {
-    let (mut stage, _) = over();
-    stage.take_over(2, config());
+    let (mut sim, _) = over();
+    sim.take_over(2, config());
     let repeat = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
-    stage.append(&repeat);
-    stage.scheduler.take_record(&repeat, stage.now);
-    stage.advance(2_000);
-    assert_eq!(stage.starts(task(job_id(1), 0, 0)), 1);
-    assert_eq!(stage.state(job_id(1)), Some(JobState::Completed));
+    sim.append(&repeat);
+    sim.scheduler.apply_record(&repeat, sim.now);
+    sim.advance(2_000);
+    assert_eq!(sim.starts(task(job_id(1), 0, 0)), 1);
+    assert_eq!(sim.state(job_id(1)), Some(JobState::Completed));
 }
 
 /// A record without a spec reaches a leader that does not know its job. It is no submission: completed at once, for
 /// want of any task, the job would be shown as done though nobody handed it in.
 #[test]
 fn a_record_without_a_spec_is_no_new_job() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let bare = submission(job(vec![step(1)])).without_spec();
-    stage.scheduler.take_record(&JobRecord::Submitted(job_id(7), Arc::new(bare)), stage.now);
-    stage.advance(1_000);
-    assert_eq!(stage.scheduler.census().jobs, 0);
-    assert_eq!(stage.state(job_id(7)), None);
+    sim.scheduler.apply_record(&JobRecord::Submitted(job_id(7), Arc::new(bare)), sim.now);
+    sim.advance(1_000);
+    assert_eq!(sim.scheduler.stats().jobs, 0);
+    assert_eq!(sim.state(job_id(7)), None);
 }
 
 /// A cancelled job's run is still being stopped. Its spec is needed until that is over, as a successor must know
 /// what the run takes on its worker.
 #[test]
 fn a_spec_stays_until_nothing_of_its_job_runs() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.workers.get_mut("w0").expect("known").stop_ms = 800;
-    let id = stage.submit(1, job(vec![step(1)]));
-    stage.append(&JobRecord::Cancelled(id));
-    stage.advance(300);
-    let has_no_spec = |stage: &Stage| {
-        let entry = stage.book.get(id).expect("known");
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.workers.get_mut("w0").expect("known").stop_ms = 800;
+    let id = sim.submit(1, job(vec![step(1)]));
+    sim.append(&JobRecord::Cancelled(id));
+    sim.advance(300);
+    let has_no_spec = |sim: &SchedulerSim| {
+        let entry = sim.book.get(id).expect("known");
         entry.submission.as_ref().expect("submitted").has_no_spec()
     };
-    assert!(!has_no_spec(&stage));
-    stage.advance(2_000);
-    assert!(has_no_spec(&stage));
-    assert_eq!(stage.state(id), Some(JobState::Cancelled));
+    assert!(!has_no_spec(&sim));
+    sim.advance(2_000);
+    assert!(has_no_spec(&sim));
+    assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
--- a/tests/start_deadline.rs
+++ b/tests/start_deadline.rs
@@ -11,16 +11,16 @@
 use ibisweir::jobs::ports::{CommandOutcome, CommandRefusal, StartCall};
 use ibisweir::jobs::record::JobRecord;
 use ibisweir::jobs::site::WorkerEntry;
-use ibisweir::scheduler::worker::WorkerRun;
-use ibisweir::scheduler::{SchedulerAction, SchedulerNote};
+use ibisweir::scheduler::worker::WorkerState;
+use ibisweir::scheduler::{SchedulerAction, SchedulerEvent};
 use support::fakes::{RecordingWorkers, idle_node};
-use support::stage::{
-    Stage, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task, worker,
+use support::sim::{
+    SchedulerSim, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task, worker,
 };
 
 /// A start that is on its way to the only worker, and when all was known that the job log held.
 struct HangingStart {
-    stage: Stage,
+    sim: SchedulerSim,
     key: TaskKey,
     shown_ms: u64,
 }
@@ -28,25 +28,25 @@
 impl HangingStart {
     /// One that was sent by a view of the jobs that is almost as old as it may be.
     fn open(slow_percent: u64, idle_ms: u64) -> HangingStart {
-        let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-        let w0 = stage.workers.get_mut("w0").expect("known");
+        let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+        let w0 = sim.workers.get_mut("w0").expect("known");
         w0.slow_percent = slow_percent;
         w0.is_late = true;
-        stage.mutes_renewals = true;
-        stage.advance(idle_ms);
-        let shown_ms = stage.now;
-        stage.reads_jobs = false;
-        stage.advance(bounds().cancel_ms / 2 - 100);
-        let id = stage.submit(1, job(vec![step(1)]));
-        assert_eq!(stage.workers["w0"].late.len(), 1, "it is on its way");
-        HangingStart { stage, key: task(id, 0, 0), shown_ms }
+        sim.are_renewals_muted = true;
+        sim.advance(idle_ms);
+        let shown_ms = sim.now;
+        sim.is_reading_jobs = false;
+        sim.advance(bounds().cancel_ms / 2 - 100);
+        let id = sim.submit(1, job(vec![step(1)]));
+        assert_eq!(sim.workers["w0"].late.len(), 1, "it is on its way");
+        HangingStart { sim, key: task(id, 0, 0), shown_ms }
     }
 
     /// Whether the worker carries it out if it comes that long after the view. The leader does nothing more.
     fn begins_after(mut self, ms: u64) -> bool {
-        self.stage.now = self.shown_ms + ms;
-        self.stage.deliver_late("w0");
-        self.stage.starts(self.key) > 0
+        self.sim.now = self.shown_ms + ms;
+        self.sim.deliver_late("w0");
+        self.sim.starts(self.key) > 0
     }
 }
 
@@ -73,10 +73,10 @@
 async fn a_start_of_an_executor_that_comes_after_the_bound_is_refused() {
     for (after_ms, begins) in [(bounds().cancel_ms, false), (bounds().cancel_ms - 200, true)] {
         let mut start = HangingStart::open(0, 0);
-        let w0 = start.stage.workers.get_mut("w0").expect("known");
+        let w0 = start.sim.workers.get_mut("w0").expect("known");
         let sent: Vec<StartCall> = std::mem::take(&mut w0.late);
         let carried = carry_out_all(&sent).await;
-        start.stage.workers.get_mut("w0").expect("known").late = carried;
+        start.sim.workers.get_mut("w0").expect("known").late = carried;
         assert_eq!(start.begins_after(after_ms), begins);
     }
 }
@@ -106,16 +106,16 @@
 /// Guards against a task that waits long for a worker that was idle, whose clock is ahead of what is known of it.
 #[test]
 fn a_start_that_is_refused_as_late_goes_out_again_at_once() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.mutes_renewals = true;
-    stage.advance(200_000);
-    let id = stage.submit(1, job(vec![step(1)]));
-    assert_eq!(stage.workers["w0"].refused_late, 1);
-    assert_eq!(stage.starts(task(id, 0, 0)), 1);
-    let is_late = |note: &&SchedulerNote| {
-        matches!(note, SchedulerNote::StartRefused { reason: "late_lease", .. })
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.are_renewals_muted = true;
+    sim.advance(200_000);
+    let id = sim.submit(1, job(vec![step(1)]));
+    assert_eq!(sim.workers["w0"].late_refusals, 1);
+    assert_eq!(sim.starts(task(id, 0, 0)), 1);
+    let is_late = |note: &&SchedulerEvent| {
+        matches!(note, SchedulerEvent::StartRefused { reason: "late_lease", .. })
     };
-    assert_eq!(stage.notes.iter().filter(is_late).count(), 1, "operators see it");
+    assert_eq!(sim.events.iter().filter(is_late).count(), 1, "operators see it");
 }
 
 /// Guards against a leader that sends refused starts again and again, with nothing new to say: its view of the jobs
@@ -124,23 +124,25 @@
 fn a_start_that_is_refused_as_late_is_not_sent_without_end() {
     for is_view_old in [true, false] {
         let mut start = HangingStart::open(0, 0);
-        let (key, stage) = (start.key, &mut start.stage);
-        let clock_ms = is_view_old.then_some(stage.now + bounds().cancel_ms);
+        let (key, sim) = (start.key, &mut start.sim);
+        let clock_ms = is_view_old.then_some(sim.now + bounds().cancel_ms);
         let refused = CommandOutcome::Refused(CommandRefusal::LeaseExpired, clock_ms);
         let mut sent = 0;
         for _ in 0..100 {
-            stage.now += 10;
-            let now = stage.now;
-            stage.scheduler.confirm(now);
+            sim.now += 10;
+            let now = sim.now;
+            sim.scheduler.confirm(now);
             if !is_view_old {
-                stage.scheduler.jobs_read(now);
+                sim.scheduler.jobs_read(now);
             }
-            stage.scheduler.tick(now, WALL_OFFSET_MS + now);
-            let actions = stage.scheduler.take_actions();
-            for _ in actions.iter().filter(|action| matches!(action, SchedulerAction::Send(..))) {
+            sim.scheduler.tick(now, WALL_OFFSET_MS + now);
+            let actions = sim.scheduler.take_actions();
+            for _ in
+                actions.iter().filter(|action| matches!(action, SchedulerAction::SendCommand(..)))
+            {
                 sent += 1;
-                if stage.scheduler.command(&key, 1, now).is_some() {
-                    stage.scheduler.handle_start_outcome(&"w0".into(), &key, 1, &refused, now);
+                if sim.scheduler.command(&key, 1, now).is_some() {
+                    sim.scheduler.handle_start_outcome(&"w0".into(), &key, 1, &refused, now);
                 }
             }
         }
@@ -152,33 +154,33 @@
 /// lease before its first start comes.
 #[test]
 fn a_worker_that_was_idle_is_given_a_lease_before_its_first_start() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.advance(10_000);
-    stage.woken.clear();
-    stage.log_is_up = false;
-    let id = stage.submit(1, job(vec![step(1)]));
-    assert_eq!(stage.woken, ["w0".into()], "while the start waits for the log");
-    let whole_ms = stage.now + bounds().lease_max_ms - 300;
-    assert!(stage.workers["w0"].lease_until_ms >= whole_ms);
-    stage.mutes_renewals = true;
-    stage.log_is_up = true;
-    stage.pump();
-    assert!(stage.workers["w0"].lease_until_ms >= whole_ms, "its start does not shorten it");
-    stage.advance_unconfirmed(bounds().cancel_ms);
-    assert_eq!(stage.alive(task(id, 0, 0)), 1);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.advance(10_000);
+    sim.immediate_renewals.clear();
+    sim.is_log_up = false;
+    let id = sim.submit(1, job(vec![step(1)]));
+    assert_eq!(sim.immediate_renewals, ["w0".into()], "while the start waits for the log");
+    let whole_ms = sim.now + bounds().lease_max_ms - 300;
+    assert!(sim.workers["w0"].lease_until_ms >= whole_ms);
+    sim.are_renewals_muted = true;
+    sim.is_log_up = true;
+    sim.run_until_idle();
+    assert!(sim.workers["w0"].lease_until_ms >= whole_ms, "its start does not shorten it");
+    sim.advance_unconfirmed(bounds().cancel_ms);
+    assert_eq!(sim.alive(task(id, 0, 0)), 1);
 }
 
 /// Guards against the same where that renewal is lost: the next one gives the whole lease.
 #[test]
 fn one_renewal_gives_the_whole_lease() {
-    let mut stage = Stage::open(config(), vec![worker("w0", "r0")]);
-    stage.advance(10_000);
-    stage.mutes_renewals = true;
-    stage.submit(1, job(vec![step(1)]));
-    assert!(stage.workers["w0"].lease_until_ms <= stage.now + bounds().cancel_ms);
-    stage.mutes_renewals = false;
-    stage.advance(20);
-    assert!(stage.workers["w0"].lease_until_ms >= stage.now + bounds().lease_max_ms - 300);
+    let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
+    sim.advance(10_000);
+    sim.are_renewals_muted = true;
+    sim.submit(1, job(vec![step(1)]));
+    assert!(sim.workers["w0"].lease_until_ms <= sim.now + bounds().cancel_ms);
+    sim.are_renewals_muted = false;
+    sim.advance(20);
+    assert!(sim.workers["w0"].lease_until_ms >= sim.now + bounds().lease_max_ms - 300);
 }
 
 /// Guards against a task that is started a second time while its first run may be alive, and against one that waits
@@ -186,7 +188,7 @@
 #[test]
 fn the_lease_of_a_start_is_booked_as_long_as_it_may_last() {
     let (sampled_ms, deadline_ms) = (100_000, 102_900);
-    let mut booked = WorkerRun::new(worker("w0", "r0"), 0, 0);
+    let mut booked = WorkerState::new(worker("w0", "r0"), 0, 0);
     booked.sample_clock(50_000, sampled_ms);
     let until = booked.start_until(5_800, deadline_ms, 101_000).expect("its clock is known");
     let bound = booked.lease_bound_ms();
@@ -203,22 +205,22 @@
 #[test]
 fn no_start_goes_out_to_a_worker_that_is_known_to_leave() {
     for is_sent in [false, true] {
-        let mut stage = Stage::open(config(), vec![worker("w0", "r0"), worker("w1", "r0")]);
-        stage.lane_is_slow = !is_sent;
-        stage.workers.values_mut().for_each(|worker| worker.is_late = true);
-        let id = stage.submit(1, job(vec![step(1)]));
-        let place = match stage.scheduled_on("w0") {
+        let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0"), worker("w1", "r0")]);
+        sim.is_lane_held = !is_sent;
+        sim.workers.values_mut().for_each(|worker| worker.is_late = true);
+        let id = sim.submit(1, job(vec![step(1)]));
+        let place = match sim.scheduled_on("w0") {
             0 => "w1",
             _ => "w0",
         };
-        stage.report(WorkerEntry { is_draining: true, ..worker(place, "r0") });
-        stage.workers.values_mut().for_each(|worker| worker.is_late = false);
-        stage.lane_is_slow = false;
-        stage.empty_lanes();
-        stage.advance(1_000);
-        let on = |id: &str| stage.started.iter().filter(|(.., on)| **on == *id).count();
-        assert_eq!((on(place), stage.started.len()), (0, 1));
-        stage.deliver_late(place);
-        assert_eq!(stage.starts(task(id, 0, 0)), 1, "a stop has ruled it out");
+        sim.report(WorkerEntry { is_draining: true, ..worker(place, "r0") });
+        sim.workers.values_mut().for_each(|worker| worker.is_late = false);
+        sim.is_lane_held = false;
+        sim.empty_lanes();
+        sim.advance(1_000);
+        let on = |id: &str| sim.started.iter().filter(|(.., on)| **on == *id).count();
+        assert_eq!((on(place), sim.started.len()), (0, 1));
+        sim.deliver_late(place);
+        assert_eq!(sim.starts(task(id, 0, 0)), 1, "a stop has ruled it out");
     }
 }
--- a/tests/start_outcomes.rs
+++ b/tests/start_outcomes.rs
@@ -8,12 +8,12 @@
 use ibisweir::jobs::ports::{CommandOutcome, CommandRefusal, StartCall};
 use ibisweir::jobs::site::WorkerEntry;
 use ibisweir::scheduler::runs::RunCommand;
-use ibisweir::scheduler::{SchedulerAction, SchedulerNote};
-use support::stage::{Stage, WALL_OFFSET_MS, config, job, step, task, worker};
+use ibisweir::scheduler::{SchedulerAction, SchedulerEvent};
+use support::sim::{SchedulerSim, WALL_OFFSET_MS, config, job, step, task, worker};
 
 /// Two workers, and a task whose start has been handed out and has no outcome.
 struct TryScene {
-    stage: Stage,
+    sim: SchedulerSim,
     key: TaskKey,
     place: Arc<str>,
     call: StartCall,
@@ -21,32 +21,32 @@
 
 impl TryScene {
     fn open() -> TryScene {
-        let mut stage = Stage::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-        stage.lane_is_slow = true;
-        let key = task(stage.submit(1, job(vec![step(1)])), 0, 0);
-        let placed = stage.notes.iter().find_map(|note| match note {
-            SchedulerNote::Placed { worker, .. } => Some(worker.clone()),
+        let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
+        sim.is_lane_held = true;
+        let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
+        let placed = sim.events.iter().find_map(|note| match note {
+            SchedulerEvent::Placed { worker, .. } => Some(worker.clone()),
             _ => None,
         });
         let place = placed.expect("it was placed");
-        let call = hand_out(&mut stage, &key);
-        TryScene { stage, key, place, call }
+        let call = hand_out(&mut sim, &key);
+        TryScene { sim, key, place, call }
     }
 
     /// The worker gets to the first try now, and begins the run unless it was told to refuse it.
     fn carry_out(&mut self) {
-        self.stage.workers.get_mut(&self.place).expect("known").late.push(self.call.clone());
-        self.stage.deliver_late(&self.place);
+        self.sim.workers.get_mut(&self.place).expect("known").late.push(self.call.clone());
+        self.sim.deliver_late(&self.place);
     }
 
     /// The outcome of a try.
     fn end_try(&mut self, outcome: &CommandOutcome<u64>) {
-        let now = self.stage.now;
-        self.stage.scheduler.handle_start_outcome(&self.place, &self.key, 1, outcome, now);
+        let now = self.sim.now;
+        self.sim.scheduler.handle_start_outcome(&self.place, &self.key, 1, outcome, now);
     }
 
     fn clock_ms(&self) -> u64 {
-        self.stage.workers[&self.place].clock_ms(self.stage.now)
+        self.sim.workers[&self.place].clock_ms(self.sim.now)
     }
 
     fn refused(&self, refusal: CommandRefusal) -> CommandOutcome<u64> {
@@ -55,20 +55,20 @@
 
     /// Its worker says that it is about to leave.
     fn drain(&mut self) {
-        let entry = self.stage.entry(&self.place);
-        self.stage.report(WorkerEntry { is_draining: true, drain_left_ms: 3_000, ..entry });
+        let entry = self.sim.entry(&self.place);
+        self.sim.report(WorkerEntry { is_draining: true, drain_left_ms: 3_000, ..entry });
     }
 
     /// Whether the run is handed out to be sent within this time, while nothing else happens.
     fn is_sent_within(&mut self, ms: u64) -> bool {
-        let until = self.stage.now + ms;
-        while self.stage.now < until {
-            self.stage.now += 50;
-            let (now, scheduler) = (self.stage.now, &mut self.stage.scheduler);
+        let until = self.sim.now + ms;
+        while self.sim.now < until {
+            self.sim.now += 50;
+            let (now, scheduler) = (self.sim.now, &mut self.sim.scheduler);
             scheduler.confirm(now);
             scheduler.jobs_read(now);
             scheduler.tick(now, WALL_OFFSET_MS + now);
-            let is_ours = |action: &SchedulerAction| matches!(action, SchedulerAction::Send(_, task, 1) if *task == self.key);
+            let is_ours = |action: &SchedulerAction| matches!(action, SchedulerAction::SendCommand(_, task, 1) if *task == self.key);
             if scheduler.take_actions().iter().any(is_ours) {
                 return true;
             }
@@ -78,15 +78,15 @@
 
     /// What waits in the lanes goes out, and so does what is decided next.
     fn go_on(&mut self, ms: u64) {
-        self.stage.lane_is_slow = false;
-        self.stage.empty_lanes();
-        self.stage.advance(ms);
+        self.sim.is_lane_held = false;
+        self.sim.empty_lanes();
+        self.sim.advance(ms);
     }
 }
 
 /// Hands out the next try of the first run.
-fn hand_out(stage: &mut Stage, key: &TaskKey) -> StartCall {
-    match stage.scheduler.command(key, 1, stage.now) {
+fn hand_out(sim: &mut SchedulerSim, key: &TaskKey) -> StartCall {
+    match sim.scheduler.command(key, 1, sim.now) {
         Some(RunCommand::Start(call)) => call,
         other => panic!("a start is due: {other:?}"),
     }
@@ -106,16 +106,16 @@
 fn a_refused_repeat_takes_no_run_off_the_books_that_was_confirmed() {
     for refusal in REFUSALS {
         let mut scene = TryScene::open();
-        scene.stage.mutes_renewals = true;
-        hand_out(&mut scene.stage, &scene.key);
+        scene.sim.are_renewals_muted = true;
+        hand_out(&mut scene.sim, &scene.key);
         scene.carry_out();
         let done = CommandOutcome::Done(scene.clock_ms());
         scene.end_try(&done);
         let refused = scene.refused(refusal);
         scene.end_try(&refused);
         scene.go_on(1_500);
-        assert_eq!(scene.stage.starts(scene.key), 1, "{refusal:?}");
-        assert_eq!(scene.stage.alive(scene.key), 1, "{refusal:?}");
+        assert_eq!(scene.sim.starts(scene.key), 1, "{refusal:?}");
+        assert_eq!(scene.sim.alive(scene.key), 1, "{refusal:?}");
     }
 }
 
@@ -124,14 +124,14 @@
 fn a_refused_repeat_takes_no_run_off_the_books_that_was_listed() {
     for refusal in REFUSALS {
         let mut scene = TryScene::open();
-        hand_out(&mut scene.stage, &scene.key);
+        hand_out(&mut scene.sim, &scene.key);
         scene.carry_out();
-        scene.stage.advance(100);
+        scene.sim.advance(100);
         let refused = scene.refused(refusal);
         scene.end_try(&refused);
         scene.go_on(1_500);
-        assert_eq!(scene.stage.starts(scene.key), 1, "{refusal:?}");
-        assert_eq!(scene.stage.alive(scene.key), 1, "{refusal:?}");
+        assert_eq!(scene.sim.starts(scene.key), 1, "{refusal:?}");
+        assert_eq!(scene.sim.alive(scene.key), 1, "{refusal:?}");
     }
 }
 
@@ -140,17 +140,17 @@
 fn a_refused_repeat_ends_no_run_that_is_being_stopped() {
     for refusal in REFUSALS {
         let mut scene = TryScene::open();
-        hand_out(&mut scene.stage, &scene.key);
-        scene.stage.workers.get_mut(&scene.place).expect("known").loses_stops = true;
+        hand_out(&mut scene.sim, &scene.key);
+        scene.sim.workers.get_mut(&scene.place).expect("known").are_stops_lost = true;
         scene.carry_out();
         let done = CommandOutcome::Done(scene.clock_ms());
-        scene.stage.mutes_renewals = true;
+        scene.sim.are_renewals_muted = true;
         scene.drain();
         scene.end_try(&done);
         let refused = scene.refused(refusal);
         scene.end_try(&refused);
         scene.go_on(1_500);
-        assert_eq!(scene.stage.alive(scene.key), 1, "{refusal:?}");
+        assert_eq!(scene.sim.alive(scene.key), 1, "{refusal:?}");
     }
 }
 
@@ -159,14 +159,14 @@
 #[test]
 fn a_repeat_that_is_not_sent_does_not_settle_the_try_before_it() {
     let mut scene = TryScene::open();
-    scene.stage.advance(700);
-    hand_out(&mut scene.stage, &scene.key);
-    let now = scene.stage.now;
-    scene.stage.scheduler.start_not_sent(&scene.key, 1, now);
+    scene.sim.advance(700);
+    hand_out(&mut scene.sim, &scene.key);
+    let now = scene.sim.now;
+    scene.sim.scheduler.start_not_sent(&scene.key, 1, now);
     scene.drain();
     scene.go_on(500);
     scene.carry_out();
-    assert_eq!(scene.stage.alive(scene.key), 1);
+    assert_eq!(scene.sim.alive(scene.key), 1);
 }
 
 /// Guards against starts that are sent again while their executor's answer is on its way, and that take the time of a
--- a/tests/submitter.rs
+++ b/tests/submitter.rs
@@ -15,7 +15,7 @@
 use ibisweir::scheduler::Scheduler;
 use ibisweir::transport::HttpTransport;
 use support::fakes::{idle_node, lead};
-use support::stage::{job, job_id, step, submission};
+use support::sim::{job, job_id, step, submission};
 use tokio::time::{Instant, sleep};
 
 /// A log that counts the appends of entries.
--- a/tests/support/cancel_callers.rs
+++ b/tests/support/cancel_callers.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use super::cancel_site::{CancelSite, EntryLife, HOP_MS};
-use super::pieces::{job, job_id, submission};
+use super::fixtures::{job, job_id, submission};
 
 /// Word for a record that cancels.
 const CANCELLATION: &str = "cancellation";
--- a/tests/support/cancel_leader.rs
+++ b/tests/support/cancel_leader.rs
@@ -17,8 +17,8 @@
 
 use super::cancel_site::{CancelSite, EntryLife, HOP_MS, SiteEvent, one_pool};
 use super::fakes::{AnswerMode, RecordingWorkers};
-use super::pieces::{WALL_OFFSET_MS, bounds};
-use super::stage_worker::StageWorker;
+use super::fixtures::{WALL_OFFSET_MS, bounds};
+use super::sim_worker::SimWorker;
 
 /// Time between two turns of a leader.
 const TURN_MS: u64 = 20;
@@ -103,8 +103,8 @@
             config: Arc::new(one_pool()),
             predecessor,
             confirmed_ms: self.entries[life.0].confirmed_ms.max(raised_ms),
-            jobs_ms: raised_ms.max(node.jobs_ms()),
-            rooms_ms: raised_ms,
+            jobs_read_ms: raised_ms.max(node.jobs_ms()),
+            workers_read_ms: raised_ms,
             now: node.now(),
             wall_ms: WALL_OFFSET_MS + self.now,
         };
@@ -152,14 +152,16 @@
         }
         for action in actions {
             match action {
-                SchedulerAction::Send(target, task, run) => {
+                SchedulerAction::SendCommand(target, task, run) => {
                     let lane_ms = self.delays.lane_ms.clone();
                     let ms = self.draw(&lane_ms);
                     self.at_entry(ms, life, move |site| {
                         site.send_run(life, term, &target, task, run)
                     });
                 }
-                SchedulerAction::Stop(target, call) => self.send_stop(life, term, &target, call),
+                SchedulerAction::StopUntracked(target, call) => {
+                    self.send_stop(life, term, &target, call)
+                }
                 _ => {}
             }
         }
@@ -222,7 +224,7 @@
             return;
         }
         let node = self.node(life);
-        if !batch.records.is_empty() && node.fold_own(&batch.folded, offset, end) {
+        if !batch.records.is_empty() && node.fold_own(&batch.decoded, offset, end) {
             node.jobs_shown(sent_ms);
         }
         let now = node.now();
@@ -583,11 +585,11 @@
     }
 
     /// A worker begins anew under its name and knows nothing; leaders hear of it a moment later.
-    pub fn begin_anew(&mut self, position: usize) {
+    pub fn restart_worker(&mut self, position: usize) {
         let started_ms = self.now;
         let worker = &mut self.workers[position];
         worker.entry.id = incarnation_id(worker_name(&worker.entry.id), Some(started_ms));
-        worker.body = StageWorker::default();
+        worker.body = SimWorker::default();
         let entry = worker.entry.clone();
         for life in (0..self.entries.len()).map(|at| self.life(at)).collect::<Vec<_>>() {
             let entry = entry.clone();
--- a/tests/support/cancel_site.rs
+++ b/tests/support/cancel_site.rs
@@ -22,9 +22,9 @@
 use super::cancel_callers::{StoreRequests, TakenRecord};
 use super::cancel_leader::StartOrders;
 use super::fakes::node_with;
-use super::pieces::{START_MS, bounds, config, site_settings, worker};
+use super::fixtures::{START_MS, bounds, config, site_settings, worker};
+use super::sim_worker::SimWorker;
 use super::site_log::SiteLog;
-use super::stage_worker::StageWorker;
 
 /// Wait of a follower's read for records, and the pause after records.
 const READ_WAIT_MS: u64 = 700;
@@ -83,7 +83,7 @@
     /// How it is listed.
     pub entry: WorkerEntry,
     /// What it holds.
-    pub body: StageWorker,
+    pub body: SimWorker,
     /// By how much its clock is slow, in percent.
     pub slow_percent: u64,
 }
@@ -171,11 +171,7 @@
             now: 0,
             entries: (0..entries).map(|n| open_entry(n, 0)).collect(),
             workers: (0..workers)
-                .map(|n| SiteWorker {
-                    entry: born(n),
-                    body: StageWorker::default(),
-                    slow_percent: 0,
-                })
+                .map(|n| SiteWorker { entry: born(n), body: SimWorker::default(), slow_percent: 0 })
                 .collect(),
             log: SiteLog::default(),
             jobs: BTreeMap::new(),
--- a/tests/support/fakes.rs
+++ b/tests/support/fakes.rs
@@ -18,7 +18,7 @@
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
 use tokio::time::sleep;
 
-use super::stage::{bounds, config, site_settings};
+use super::sim::{bounds, config, site_settings};
 
 /// An entry that binds nothing and follows nothing.
 pub fn idle_node() -> Arc<JobNode> {
@@ -75,8 +75,8 @@
         config: Arc::new(config()),
         predecessor,
         confirmed_ms: node.now(),
-        jobs_ms: node.now(),
-        rooms_ms: node.now(),
+        jobs_read_ms: node.now(),
+        workers_read_ms: node.now(),
         now: node.now(),
         wall_ms: node.clock.wall_ms(),
     };
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,11 +5,11 @@
 pub mod cancel_leader;
 pub mod cancel_site;
 pub mod fakes;
-pub mod pieces;
+pub mod fixtures;
 pub mod process;
+pub mod sim;
+pub mod sim_worker;
 pub mod site_log;
-pub mod stage;
-pub mod stage_worker;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
 use ibisweir::request::CODE_HEADER;
 
 /// Longest wait of a test for something that must come; only a hang reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// An answer as a caller sees it.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
 pub async fn wait(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !holds().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "waited in vain for {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/support/stage.rs
+++ b/tests/support/sim.rs
@@ -16,13 +16,13 @@
 };
 use ibisweir::scheduler::renewals::RenewPlan;
 use ibisweir::scheduler::runs::RunCommand;
-use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerNote, SchedulerStart};
+use ibisweir::scheduler::{Scheduler, SchedulerAction, SchedulerEvent, SchedulerStart};
 
-pub use super::pieces::*;
-pub use super::stage_worker::StageWorker;
+pub use super::fixtures::*;
+pub use super::sim_worker::SimWorker;
 
 /// The scheduler, its book and its workers.
-pub struct Stage {
+pub struct SchedulerSim {
     /// The scheduler.
     pub scheduler: Scheduler,
     /// What the log tells.
@@ -30,7 +30,7 @@
     /// End of the log.
     pub end: u64,
     /// Workers by id.
-    pub workers: BTreeMap<Arc<str>, StageWorker>,
+    pub workers: BTreeMap<Arc<str>, SimWorker>,
     /// Every start that a worker carried out, in order.
     pub started: Vec<(TaskKey, u32, Arc<str>)>,
     /// Runs whose start a worker carried out late.
@@ -38,11 +38,11 @@
     /// Commands to VMs.
     pub vm_commands: Vec<VmCommand>,
     /// Decisions that were logged.
-    pub notes: Vec<SchedulerNote>,
+    pub events: Vec<SchedulerEvent>,
     /// Times that the VM list was asked for.
     pub lists_asked: usize,
     /// Waves told to operators.
-    pub told: Vec<(u64, bool)>,
+    pub wave_statuses: Vec<(u64, bool)>,
     /// Steps and workers for which permits were asked.
     pub permits_asked: Vec<(StepKey, Vec<Arc<str>>)>,
     /// Permits that starts carried.
@@ -52,22 +52,22 @@
     /// Ends of leases that renewals asked for.
     pub leases: Vec<u64>,
     /// Workers whose leases were to be renewed at once, in order.
-    pub woken: Vec<Arc<str>>,
+    pub immediate_renewals: Vec<Arc<str>>,
     /// Stops sent.
     pub stops: Vec<(TaskKey, u32)>,
     /// Throttles sent.
     pub throttles: Vec<(TaskKey, u32)>,
     /// Whether throttles go unanswered.
-    pub loses_throttles: bool,
+    pub are_throttles_lost: bool,
     /// Whether commands wait in their lanes until the test empties them.
-    pub lane_is_slow: bool,
+    pub is_lane_held: bool,
     lane: Vec<(Arc<str>, TaskKey, u32)>,
     /// Whether what workers say of themselves is read.
-    pub reads_workers: bool,
+    pub is_reading_workers: bool,
     /// Whether the job log is read.
-    pub reads_jobs: bool,
+    pub is_reading_jobs: bool,
     /// Whether the log takes appends.
-    pub log_is_up: bool,
+    pub is_log_up: bool,
     /// Whether the VM service answers `Done` to commands.
     pub vm_outcome: VmOutcome,
     /// Promised times of the site, from the next leader on.
@@ -77,19 +77,19 @@
     /// Now.
     pub now: u64,
     /// Whether no renewal is sent.
-    pub mutes_renewals: bool,
+    pub are_renewals_muted: bool,
     /// Whether the entries of workers that begin anew stay as they were until the test shows them.
-    pub hides_rebirths: bool,
+    pub are_restarts_hidden: bool,
     /// Tasks that are done as soon as they are started.
     pub instant_tasks: BTreeSet<TaskKey>,
     /// Tasks that crash each worker that starts them.
-    pub crashers: BTreeSet<TaskKey>,
+    pub crashing_tasks: BTreeSet<TaskKey>,
     /// Time from such a start to the crash, in milliseconds.
     pub crash_after_ms: u64,
     /// Time from a crash to the next life, in milliseconds: silence is noticed after 0.2 s.
-    pub rebirth_ms: u64,
+    pub restart_ms: u64,
     /// Whether such a start is answered before the crash.
-    pub answers_before_crash: bool,
+    pub is_start_answered: bool,
     /// Workers that were lost, in order.
     pub lost: Vec<Arc<str>>,
     entries: Vec<WorkerEntry>,
@@ -109,17 +109,17 @@
     reborn_ms: u64,
 }
 
-impl Stage {
+impl SchedulerSim {
     /// One whose workers tell when they were born.
-    pub fn open_born(config: SiteConfig, entries: Vec<WorkerEntry>) -> Stage {
+    pub fn open_with_incarnations(config: SiteConfig, entries: Vec<WorkerEntry>) -> SchedulerSim {
         let born =
             |entry: WorkerEntry| WorkerEntry { id: incarnation_id(&entry.id, Some(0)), ..entry };
-        Stage::open(config, entries.into_iter().map(born).collect())
+        SchedulerSim::open(config, entries.into_iter().map(born).collect())
     }
 
     /// A leader of term 1 with these workers, all under its token.
-    pub fn open(config: SiteConfig, entries: Vec<WorkerEntry>) -> Stage {
-        let mut stage = Stage {
+    pub fn open(config: SiteConfig, entries: Vec<WorkerEntry>) -> SchedulerSim {
+        let mut sim = SchedulerSim {
             scheduler: leader(1, None, bounds(), config, &JobTable::default(), START_MS),
             book: JobTable::default(),
             end: 0,
@@ -127,33 +127,33 @@
             started: Vec::new(),
             started_late: BTreeSet::new(),
             vm_commands: Vec::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
             lists_asked: 0,
-            told: Vec::new(),
+            wave_statuses: Vec::new(),
             permits_asked: Vec::new(),
             permits_used: Vec::new(),
             gauges: BTreeMap::new(),
             leases: Vec::new(),
-            woken: Vec::new(),
+            immediate_renewals: Vec::new(),
             stops: Vec::new(),
             throttles: Vec::new(),
-            loses_throttles: false,
-            lane_is_slow: false,
+            are_throttles_lost: false,
+            is_lane_held: false,
             lane: Vec::new(),
-            reads_workers: true,
-            reads_jobs: true,
-            log_is_up: true,
+            is_reading_workers: true,
+            is_reading_jobs: true,
+            is_log_up: true,
             vm_outcome: VmOutcome::Done,
             bounds: bounds(),
             predecessor_end: PredecessorEnd::Unknown,
             now: START_MS,
-            mutes_renewals: false,
-            hides_rebirths: false,
+            are_renewals_muted: false,
+            are_restarts_hidden: false,
             instant_tasks: BTreeSet::new(),
-            crashers: BTreeSet::new(),
+            crashing_tasks: BTreeSet::new(),
             crash_after_ms: 10,
-            rebirth_ms: 300,
-            answers_before_crash: true,
+            restart_ms: 300,
+            is_start_answered: true,
             lost: Vec::new(),
             entries,
             unlisted: BTreeSet::new(),
@@ -161,9 +161,9 @@
             crashes: 0,
             doomed: Vec::new(),
         };
-        stage.list_workers();
-        stage.pump();
-        stage
+        sim.list_workers();
+        sim.run_until_idle();
+        sim
     }
 
     /// Another entry takes over from the log; the old leader says no more.
@@ -172,7 +172,7 @@
         let before = LeaderTrace { seen_ms: self.now, end: self.predecessor_end };
         self.scheduler = leader(term, Some(before), self.bounds, config, &self.book, self.now);
         self.list_workers();
-        self.pump();
+        self.run_until_idle();
     }
 
     /// A worker says something new of itself.
@@ -180,13 +180,13 @@
         let known = self.entries.iter_mut().find(|known| known.id == entry.id);
         *known.expect("the worker is known") = entry.clone();
         self.scheduler.worker_seen(entry, self.now);
-        self.pump();
+        self.run_until_idle();
     }
 
     /// Runs that are planned for a worker or on it.
     pub fn scheduled_on(&self, id: &str) -> usize {
-        let is_placed = |note: &&SchedulerNote| matches!(note, SchedulerNote::Placed { worker, .. } if **worker == *id);
-        self.notes.iter().filter(is_placed).count()
+        let is_placed = |note: &&SchedulerEvent| matches!(note, SchedulerEvent::Placed { worker, .. } if **worker == *id);
+        self.events.iter().filter(is_placed).count()
     }
 
     /// A worker's entry is gone; the worker runs on, and its VM is listed.
@@ -198,7 +198,7 @@
         for entry in &self.entries {
             let is_same = |id: &Arc<str>| worker_name(id) == worker_name(&entry.id);
             if !self.workers.keys().any(is_same) {
-                self.workers.insert(entry.id.clone(), StageWorker::default());
+                self.workers.insert(entry.id.clone(), SimWorker::default());
             }
         }
         let is_listed = |entry: &&WorkerEntry| !self.unlisted.contains(&entry.id);
@@ -211,14 +211,14 @@
         let job = job_id(id);
         let record = JobRecord::Submitted(job, Arc::new(submission(spec)));
         self.append(&record);
-        self.pump();
+        self.run_until_idle();
         job
     }
 
     /// Puts a record on the log that some entry wrote.
     pub fn append(&mut self, record: &JobRecord) {
         if self.book.fold(record, self.end) {
-            self.scheduler.take_record(record, self.now);
+            self.scheduler.apply_record(record, self.now);
         }
         self.end += 1;
     }
@@ -231,13 +231,13 @@
             self.crash_doomed();
             self.expire_leases();
             self.scheduler.confirm(self.now);
-            if self.reads_workers {
+            if self.is_reading_workers {
                 self.scheduler.workers_read(self.now);
             }
-            if self.reads_jobs {
+            if self.is_reading_jobs {
                 self.scheduler.jobs_read(self.now);
             }
-            self.pump();
+            self.run_until_idle();
         }
     }
 
@@ -247,7 +247,7 @@
         while self.now < end {
             self.now = (self.now + 20).min(end);
             self.expire_leases();
-            self.pump();
+            self.run_until_idle();
         }
     }
 
@@ -258,20 +258,20 @@
 
     /// A worker begins anew under its name: it runs and knows nothing, but for the starts that went unanswered,
     /// which may yet come. Nobody is told.
-    pub fn begin_anew(&mut self, id: &str) -> Arc<str> {
+    pub fn restart_worker(&mut self, id: &str) -> Arc<str> {
         let before = self.workers.remove(id).expect("the worker is known");
         self.crashes += 1;
         let next = incarnation_id(worker_name(id), Some(u64::from(self.crashes)));
         let late = before.late.clone();
-        self.workers.insert(next.clone(), StageWorker { late, ..StageWorker::default() });
-        if !self.hides_rebirths {
-            self.write_rebirths();
+        self.workers.insert(next.clone(), SimWorker { late, ..SimWorker::default() });
+        if !self.are_restarts_hidden {
+            self.write_restarts();
         }
         next
     }
 
     /// The entries of all workers tell of their present lives.
-    fn write_rebirths(&mut self) {
+    fn write_restarts(&mut self) {
         for entry in &mut self.entries {
             let name = worker_name(&entry.id);
             if let Some(present) = self.workers.keys().find(|id| worker_name(id) == name) {
@@ -281,12 +281,12 @@
     }
 
     /// The same, and they are read.
-    pub fn show_rebirths(&mut self) {
-        self.write_rebirths();
+    pub fn show_restarts(&mut self) {
+        self.write_restarts();
         for entry in self.entries.clone() {
             self.scheduler.worker_seen(entry, self.now);
         }
-        self.pump();
+        self.run_until_idle();
     }
 
     /// The VM list is read, which knows workers by their names alone.
@@ -296,8 +296,8 @@
             VmEntry { vm: format!("m-{name}").into(), worker: name.into(), ..vm(entry, POOL) }
         };
         let vms = self.entries.iter().map(named).collect();
-        self.scheduler.take_vms(vms, self.now, self.now);
-        self.pump();
+        self.scheduler.update_vms(vms, self.now, self.now);
+        self.run_until_idle();
     }
 
     /// The entries of all workers as they are now.
@@ -307,7 +307,7 @@
     }
 
     /// The worker that a call to this life reaches: the present life of the same name.
-    fn reach(&mut self, id: &str) -> Option<&mut StageWorker> {
+    fn reach(&mut self, id: &str) -> Option<&mut SimWorker> {
         let is_same = |other: &&Arc<str>| worker_name(other) == worker_name(id);
         let present = self.workers.keys().find(is_same).cloned()?;
         self.workers.get_mut(&present)
@@ -326,8 +326,8 @@
         }
         self.list_workers();
         let vms = self.entries.iter().map(|entry| vm(entry, POOL)).collect();
-        self.scheduler.take_vms(vms, self.now, self.now);
-        self.pump();
+        self.scheduler.update_vms(vms, self.now, self.now);
+        self.run_until_idle();
     }
 
     /// Lets workers crash under the tasks that do that, and brings the next lives.
@@ -350,11 +350,11 @@
 
     /// Whether a start dooms its worker.
     fn doom(&mut self, id: &Arc<str>, task: &TaskKey) {
-        if !self.crashers.contains(task) || self.doomed.iter().any(|doom| doom.id == *id) {
+        if !self.crashing_tasks.contains(task) || self.doomed.iter().any(|doom| doom.id == *id) {
             return;
         }
         let crash_ms = self.now + self.crash_after_ms;
-        let reborn_ms = crash_ms + self.rebirth_ms;
+        let reborn_ms = crash_ms + self.restart_ms;
         self.doomed.push(DoomedWorker { id: id.clone(), crash_ms, reborn_ms });
     }
 
@@ -388,7 +388,7 @@
     pub fn end_run(&mut self, key: TaskKey, run: u32, worker: &str, kind: ExitKind) {
         let worker = self.workers.get_mut(worker).expect("the worker is known");
         worker.exit(key, run, kind);
-        self.pump();
+        self.run_until_idle();
     }
 
     /// State of a job as callers see it.
@@ -399,7 +399,7 @@
     /// Runs of a task that are alive on any worker.
     pub fn alive(&self, key: TaskKey) -> usize {
         let on =
-            |worker: &StageWorker| worker.running.keys().filter(|(task, _)| *task == key).count();
+            |worker: &SimWorker| worker.running.keys().filter(|(task, _)| *task == key).count();
         self.workers.values().map(on).sum()
     }
 
@@ -415,7 +415,7 @@
     }
 
     /// Lets the scheduler act until it has no more to do at this time.
-    pub fn pump(&mut self) {
+    pub fn run_until_idle(&mut self) {
         for _ in 0..50 {
             self.scheduler.tick(self.now, WALL_OFFSET_MS + self.now);
             let mut is_quiet = !self.commit();
@@ -430,11 +430,11 @@
     }
 
     fn commit(&mut self) -> bool {
-        if !self.log_is_up {
+        if !self.is_log_up {
             return false;
         }
         let Some(batch) = self.scheduler.take_commit() else { return false };
-        for record in &batch.folded {
+        for record in &batch.decoded {
             self.book.fold(record, self.end);
             self.end += 1;
         }
@@ -444,42 +444,42 @@
 
     fn carry_out(&mut self, action: SchedulerAction) -> bool {
         match action {
-            SchedulerAction::Send(target, task, run) if self.lane_is_slow => {
+            SchedulerAction::SendCommand(target, task, run) if self.is_lane_held => {
                 self.lane.push((target.id, task, run));
             }
-            SchedulerAction::Send(target, task, run) => self.send(&target.id, task, run),
-            SchedulerAction::Stop(target, call) => self.stop(&target.id, &call),
+            SchedulerAction::SendCommand(target, task, run) => self.send(&target.id, task, run),
+            SchedulerAction::StopUntracked(target, call) => self.stop(&target.id, &call),
             SchedulerAction::Throttle(_, call, percent) => {
                 self.throttles.push((call.task, percent));
-                self.scheduler.handle_throttle_outcome(&call, !self.loses_throttles);
+                self.scheduler.handle_throttle_outcome(&call, !self.are_throttles_lost);
             }
             SchedulerAction::CommandVm(command, _) => {
                 self.vm_commands.push(command.clone());
                 self.scheduler.vm_commanded(&command, self.vm_outcome, self.now);
             }
-            SchedulerAction::AskPermits(step, workers) => {
+            SchedulerAction::RequestPermits(step, workers) => {
                 self.permits_asked.push((step, workers));
             }
-            SchedulerAction::TellWave(number, is_completed) => {
-                self.told.push((number, is_completed));
+            SchedulerAction::PublishWaveStatus(number, is_completed) => {
+                self.wave_statuses.push((number, is_completed));
             }
             SchedulerAction::ListVms => {
                 self.lists_asked += 1;
                 return false;
             }
-            SchedulerAction::Note(note) => {
-                self.notes.push(note);
+            SchedulerAction::Event(note) => {
+                self.events.push(note);
                 return false;
             }
-            SchedulerAction::Wake(worker) => {
-                self.woken.push(worker);
+            SchedulerAction::RenewNow(worker) => {
+                self.immediate_renewals.push(worker);
                 return false;
             }
-            SchedulerAction::Watch(target) => {
+            SchedulerAction::StartRenewals(target) => {
                 self.watched.insert(target.id);
                 return false;
             }
-            SchedulerAction::Forget(_) => return false,
+            SchedulerAction::CancelCalls(_) => return false,
         }
         true
     }
@@ -489,7 +489,7 @@
         for (id, task, run) in std::mem::take(&mut self.lane) {
             self.send(&id, task, run);
         }
-        self.pump();
+        self.run_until_idle();
     }
 
     fn send(&mut self, id: &Arc<str>, task: TaskKey, run: u32) {
@@ -508,7 +508,7 @@
         let now = self.now;
         self.stops.push((call.task, call.run));
         let outcome = match self.reach(id) {
-            Some(worker) if !worker.is_silent && !worker.loses_stops => {
+            Some(worker) if !worker.is_silent && !worker.are_stops_lost => {
                 worker.stop(call.task, call.run, now);
                 CommandOutcome::Done(worker.clock_ms(now))
             }
@@ -551,7 +551,7 @@
             self.started.push((call.task, call.run, id.clone()));
             self.doom(id, &call.task);
         }
-        if self.crashers.contains(&call.task) && !self.answers_before_crash {
+        if self.crashing_tasks.contains(&call.task) && !self.is_start_answered {
             return CommandOutcome::Unknown;
         }
         CommandOutcome::Done(clock_ms)
@@ -566,11 +566,11 @@
                 self.started_late.insert((call.task, call.run));
             }
         }
-        self.pump();
+        self.run_until_idle();
     }
 
     fn renew_all(&mut self) -> bool {
-        if self.mutes_renewals {
+        if self.are_renewals_muted {
             return false;
         }
         let ids: Vec<Arc<str>> = self.watched.iter().cloned().collect();
@@ -626,8 +626,8 @@
         config: Arc::new(config),
         predecessor,
         confirmed_ms: now,
-        jobs_ms: now,
-        rooms_ms: now,
+        jobs_read_ms: now,
+        workers_read_ms: now,
         now,
         wall_ms: WALL_OFFSET_MS + now,
     };
--- a/tests/support/stage_worker.rs
+++ b/tests/support/sim_worker.rs
@@ -5,11 +5,11 @@
 use ibisweir::jobs::model::{ExitKind, TaskKey};
 use ibisweir::jobs::ports::{RunningTask, StartCall, TaskExit, WorkerReport};
 
-use super::pieces::START_MS;
+use super::fixtures::START_MS;
 
 /// What a worker on the stage holds.
 #[derive(Clone, Debug, Default)]
-pub struct StageWorker {
+pub struct SimWorker {
     /// Runs, with their progress in percent.
     pub running: BTreeMap<(TaskKey, u32), u32>,
     /// Exits that were not acknowledged.
@@ -23,7 +23,7 @@
     /// Whether starts go unanswered, to be carried out when the test says so.
     pub is_late: bool,
     /// Whether stops to it are lost, and nothing else.
-    pub loses_stops: bool,
+    pub are_stops_lost: bool,
     /// Whether it says that it has no room for any start.
     pub is_full: bool,
     /// Whether it refuses every start as unhealthy.
@@ -41,14 +41,14 @@
     /// When its clock began, in milliseconds; 0 for as long ago as the stage's time.
     pub started_ms: u64,
     /// Starts that it refused as their leases would have been over.
-    pub refused_late: usize,
+    pub late_refusals: usize,
     /// Highest fencing token seen.
     pub fence: u64,
     /// Exits listed so far.
     pub next_exit: u64,
 }
 
-impl StageWorker {
+impl SimWorker {
     /// Its own clock.
     pub fn clock_ms(&self, now: u64) -> u64 {
         let begun_ms = self.started_ms.max(START_MS);
@@ -59,7 +59,7 @@
     /// Whether the lease of a start is over; such a one is refused.
     pub(super) fn is_too_late(&mut self, call: &StartCall, now: u64) -> bool {
         let is_late = call.lease_until_ms <= self.clock_ms(now);
-        self.refused_late += usize::from(is_late);
+        self.late_refusals += usize::from(is_late);
         is_late
     }
 
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -20,7 +20,7 @@
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
 use ibisweir::jobs::site::{PoolSpec, SiteConfig, VmEntry};
 use ibisweir::jobs::timeout_estimator::TimeoutEstimator;
-use support::stage::{bounds, config, job, job_id, site_settings, step, submission, worker};
+use support::sim::{bounds, config, job, job_id, site_settings, step, submission, worker};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -24,8 +24,8 @@
 use ibisweir::scheduler::{Scheduler, SchedulerStart};
 use ibisweir::transport::HttpTransport;
 use support::fakes::idle_node;
-use support::stage::{
-    POOL, QUEUE, Stage, bounds, config, job, job_id, queue, step, submission, task, worker,
+use support::sim::{
+    POOL, QUEUE, SchedulerSim, bounds, config, job, job_id, queue, step, submission, task, worker,
 };
 use tokio::time::sleep;
 
@@ -139,12 +139,12 @@
         config: Arc::new(config()),
         predecessor: None,
         confirmed_ms: 100_000,
-        jobs_ms: 100_000,
-        rooms_ms: 100_000,
+        jobs_read_ms: 100_000,
+        workers_read_ms: 100_000,
         now: 100_000,
         wall_ms: WALL_MS,
     };
-    Scheduler::open(start, &node.book()).census().jobs
+    Scheduler::open(start, &node.book()).stats().jobs
 }
 
 const GONE: CallerReply = CallerReply::Refused(ResultCode::UnknownJob, None);
@@ -238,13 +238,13 @@
 }
 
 /// A leader without a job of this id, the mark of an organisation, and its submission.
-fn stage() -> (Stage, CallerMark, JobRecord) {
-    let stage = Stage::open(config(), vec![worker("w0", "r0")]);
+fn sim() -> (SchedulerSim, CallerMark, JobRecord) {
+    let sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let organisation: Arc<str> = "east".into();
     let mark = CallerMark::of(Some(&organisation));
     let submission =
         JobSubmission { organisation: Some(organisation), ..submission(job(vec![step(1)])) };
-    (stage, mark, JobRecord::Submitted(job_id(1), Arc::new(submission)))
+    (sim, mark, JobRecord::Submitted(job_id(1), Arc::new(submission)))
 }
 
 /// Guards against a job that runs at the leader that was told of its cancellation first, or at its successor; and
@@ -254,21 +254,21 @@
     let west = CallerMark::of(Some(&"west".into()));
     let id = job_id(1);
     for takes_over in [false, true] {
-        for marks in [vec![west, CallerMark::of(None)], vec![self::stage().1, west]] {
-            let (mut stage, east, submitted) = stage();
+        for marks in [vec![west, CallerMark::of(None)], vec![self::sim().1, west]] {
+            let (mut sim, east, submitted) = sim();
             let is_cancelled = marks.contains(&east);
             for mark in &marks {
-                stage.append(&JobRecord::CancelledBy(id, *mark));
+                sim.append(&JobRecord::CancelledBy(id, *mark));
             }
-            stage.advance(100);
+            sim.advance(100);
             if takes_over {
-                stage.take_over(2, config());
+                sim.take_over(2, config());
             }
-            stage.append(&submitted);
-            stage.advance(500);
+            sim.append(&submitted);
+            sim.advance(500);
             let state = if is_cancelled { JobState::Cancelled } else { JobState::Running };
-            assert_eq!(stage.state(id), Some(state), "{marks:?} {takes_over}");
-            assert_eq!(stage.starts(task(id, 0, 0)), usize::from(!is_cancelled));
+            assert_eq!(sim.state(id), Some(state), "{marks:?} {takes_over}");
+            assert_eq!(sim.starts(task(id, 0, 0)), usize::from(!is_cancelled));
         }
     }
 }
@@ -276,37 +276,37 @@
 /// Guards against a cancellation of a job that the leader has that is not carried out.
 #[test]
 fn a_job_that_came_meanwhile_is_cancelled() {
-    let (mut stage, east, submitted) = stage();
-    stage.append(&submitted);
-    stage.advance(500);
-    stage.append(&JobRecord::CancelledBy(job_id(1), CallerMark::of(None)));
-    stage.advance(500);
-    assert_eq!(stage.state(job_id(1)), Some(JobState::Running));
-    stage.append(&JobRecord::CancelledBy(job_id(1), east));
-    stage.advance(1_000);
-    assert_eq!(stage.state(job_id(1)), Some(JobState::Cancelled));
-    assert_eq!(stage.alive(task(job_id(1), 0, 0)), 0);
+    let (mut sim, east, submitted) = sim();
+    sim.append(&submitted);
+    sim.advance(500);
+    sim.append(&JobRecord::CancelledBy(job_id(1), CallerMark::of(None)));
+    sim.advance(500);
+    assert_eq!(sim.state(job_id(1)), Some(JobState::Running));
+    sim.append(&JobRecord::CancelledBy(job_id(1), east));
+    sim.advance(1_000);
+    assert_eq!(sim.state(job_id(1)), Some(JobState::Cancelled));
+    assert_eq!(sim.alive(task(job_id(1), 0, 0)), 0);
 }
 
 /// Guards against cancellations that stay on the log for good, and against a job that outlives its own.
 #[test]
 fn a_cancellation_leaves_the_log_after_its_job() {
-    let (mut stage, east, submitted) = stage();
+    let (mut sim, east, submitted) = sim();
     for id in [1, 2] {
-        stage.append(&JobRecord::CancelledBy(job_id(id), east));
+        sim.append(&JobRecord::CancelledBy(job_id(id), east));
     }
-    stage.advance(140_000);
-    stage.append(&submitted);
-    stage.advance(15_000);
-    assert!(stage.book.get(job_id(2)).is_none());
-    assert_eq!(stage.state(job_id(1)), Some(JobState::Cancelled));
-    let kept = stage.book.get(job_id(1)).expect("kept").tombstones.clone();
+    sim.advance(140_000);
+    sim.append(&submitted);
+    sim.advance(15_000);
+    assert!(sim.book.get(job_id(2)).is_none());
+    assert_eq!(sim.state(job_id(1)), Some(JobState::Cancelled));
+    let kept = sim.book.get(job_id(1)).expect("kept").tombstones.clone();
     assert_eq!(kept.into_keys().collect::<Vec<_>>(), [east]);
-    stage.take_over(2, config());
-    stage.advance(1_000);
-    assert_eq!(stage.starts(task(job_id(1), 0, 0)), 0);
-    stage.advance(160_000);
-    assert!(stage.book.get(job_id(1)).is_none());
+    sim.take_over(2, config());
+    sim.advance(1_000);
+    assert_eq!(sim.starts(task(job_id(1), 0, 0)), 0);
+    sim.advance(160_000);
+    assert!(sim.book.get(job_id(1)).is_none());
 }
 
 /// Guards against a caller that is told that its cancellation is done while the job, which is another organisation's,
--- a/tests/two_leaders.rs
+++ b/tests/two_leaders.rs
@@ -23,8 +23,8 @@
 use ibisweir::jobs::record::{JobRecord, KeyedRecord};
 use ibisweir::jobs::site::{SiteSettings, VmEntry};
 use ibisweir::jobs::timeout_estimator::TimeoutEstimator;
+use support::sim::{bounds, config, job, job_id, site_settings, step, submission, worker};
 use support::site_log::SiteLog;
-use support::stage::{bounds, config, job, job_id, site_settings, step, submission, worker};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
