--- a/src/admin.rs
+++ b/src/admin.rs
@@ -19,7 +19,7 @@
 use crate::control::ControlLoop;
 use crate::decide::fleet::VmPhase;
 use crate::decide::slot::SlotPolicy;
-use crate::decide::wave::{DAY_MS, product_loads, shortfall};
+use crate::decide::wave::{DAY_MS, product_workers, shortfall};
 use crate::member::is_ready;
 use crate::membership::EntryMembership;
 use crate::metrics::EntryMetrics;
@@ -249,7 +249,7 @@
 
 fn products(view: &FleetView, wall_ms: u64) -> BTreeMap<ProductName, ProductStatus> {
     let Some(document) = view.document() else { return BTreeMap::new() };
-    let loads = product_loads(document, &view.fleets);
+    let loads = product_workers(document, &view.fleets);
     let products = document.products.iter().map(|product| {
         let load = loads.get(&product.name).copied().unwrap_or_default();
         let fleets = view.fleets.values();
@@ -260,7 +260,9 @@
             lost: load.lost,
             short: shortfall(document, &load, product),
             budget_worker_minutes: product.budget_worker_minutes,
-            spent_worker_ms: fleets.map(|f| f.spent_ms(&product.name, wall_ms / DAY_MS)).sum(),
+            spent_worker_ms: fleets
+                .map(|f| f.spent_worker_ms(&product.name, wall_ms / DAY_MS))
+                .sum(),
         };
         (product.name.clone(), status)
     });
--- a/src/bin/ibisweirctl/command.rs
+++ b/src/bin/ibisweirctl/command.rs
@@ -8,7 +8,7 @@
 use http::{Method, StatusCode};
 use ibisweir::admin::StatusReport;
 use ibisweir::compare::compare;
-use ibisweir::decide::intent::IntentVerdict;
+use ibisweir::decide::intent::PublishOutcome;
 use ibisweir::document::{DocumentFault, IntentDocument, parse};
 use ibisweir::error::{CodeResult, ResultCode, coded, explain};
 use ibisweir::keys::TestAuthority;
@@ -141,20 +141,20 @@
         print_json(&verdict);
     }
     match verdict {
-        IntentVerdict::Accepted { revision } => {
+        PublishOutcome::Accepted { revision } => {
             if !config.json {
                 println!("accepted as revision {revision}");
             }
             Ok(ExitCode::SUCCESS)
         }
-        IntentVerdict::Lost { current } => {
+        PublishOutcome::Lost { current } => {
             let detail = match current {
                 Some(current) => format!("revision {current} is in force; edit that one"),
                 None => "no document is in force; publish without --base".to_owned(),
             };
             Err(coded(ResultCode::PublishLost, detail).into())
         }
-        IntentVerdict::Faulty => {
+        PublishOutcome::Faulty => {
             Err(coded(ResultCode::DocumentSyntax, "the fleet runs another version").into())
         }
     }
@@ -216,17 +216,17 @@
 
 async fn history(config: &CommandConfig, platform: SocketAddr) -> Result<ExitCode, Failure> {
     let publisher = open(config, platform).await?;
-    let lines = &publisher.state().verdicts;
+    let lines = &publisher.state().outcomes;
     if config.json {
         print_json(lines);
         return Ok(ExitCode::SUCCESS);
     }
     for line in lines {
-        let verdict = match line.verdict {
-            IntentVerdict::Accepted { .. } => "accepted".to_owned(),
-            IntentVerdict::Lost { current: Some(current) } => format!("lost to {current}"),
-            IntentVerdict::Lost { current: None } => "lost".to_owned(),
-            IntentVerdict::Faulty => "faulty".to_owned(),
+        let verdict = match line.outcome {
+            PublishOutcome::Accepted { .. } => "accepted".to_owned(),
+            PublishOutcome::Lost { current: Some(current) } => format!("lost to {current}"),
+            PublishOutcome::Lost { current: None } => "lost".to_owned(),
+            PublishOutcome::Faulty => "faulty".to_owned(),
         };
         println!("{:>8}  {:<16} {:<12} {}", line.offset, line.by, verdict, line.id);
     }
--- a/src/bin/ibisweird/main.rs
+++ b/src/bin/ibisweird/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use ibisweir::controller::EntryController;
-use ibisweir::decide::slot::{BlindChoice, BorrowedSlots, SlotPolicy, StaticSplit, TwoChoices};
+use ibisweir::decide::slot::{BorrowedSlots, RandomChoice, SlotPolicy, StaticSplit, TwoChoices};
 use ibisweir::error::{CodeResult, ResultCode, coded, explain};
 use ibisweir::jobs::site::SiteSettings;
 use ibisweir::platform::HttpPlatform;
@@ -93,7 +93,7 @@
     let served = match config.settings.text("slot-policy") {
         "static" => serve(&config, StaticSplit, &logger).await,
         "two-choices" => serve(&config, TwoChoices, &logger).await,
-        "round-robin" => serve(&config, BlindChoice, &logger).await,
+        "round-robin" => serve(&config, RandomChoice, &logger).await,
         _ => serve(&config, BorrowedSlots, &logger).await,
     };
     match served {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -4,7 +4,7 @@
 //! That is what lets the tests drive it through any order of failures.
 
 pub mod access;
-pub mod append_room;
+pub mod append_limit;
 pub mod estimate;
 pub mod executor;
 pub mod fleet;
--- a/src/decide/access.rs
+++ b/src/decide/access.rs
@@ -69,30 +69,30 @@
 /// The organisations of a configuration, by key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<OrganisationSpec>", into = "Vec<OrganisationSpec>")]
-pub struct AccessBook {
+pub struct AccessTable {
     organisations: Vec<OrganisationSpec>,
     by_key: HashMap<KeyDigest, usize>,
 }
 
-impl From<Vec<OrganisationSpec>> for AccessBook {
-    fn from(organisations: Vec<OrganisationSpec>) -> AccessBook {
+impl From<Vec<OrganisationSpec>> for AccessTable {
+    fn from(organisations: Vec<OrganisationSpec>) -> AccessTable {
         let mut by_key = HashMap::new();
         for (position, organisation) in organisations.iter().enumerate() {
             for key in &organisation.keys {
                 by_key.entry(*key).or_insert(position);
             }
         }
-        AccessBook { organisations, by_key }
+        AccessTable { organisations, by_key }
     }
 }
 
-impl From<AccessBook> for Vec<OrganisationSpec> {
-    fn from(book: AccessBook) -> Vec<OrganisationSpec> {
+impl From<AccessTable> for Vec<OrganisationSpec> {
+    fn from(book: AccessTable) -> Vec<OrganisationSpec> {
         book.organisations
     }
 }
 
-impl AccessBook {
+impl AccessTable {
     /// Whose key this is.
     pub fn owner(&self, key: &KeyDigest) -> Option<&OrganisationSpec> {
         self.organisations.get(*self.by_key.get(key)?)
@@ -116,7 +116,7 @@
 impl RevocationRule {
     /// Whether keys may be honoured by a configuration that was the newest when a reading began at
     /// `shown_ms`; nothing for one that no reading has shown to be.
-    pub fn honours(&self, shown_ms: Option<u64>, now: u64) -> bool {
+    pub fn may_honour(&self, shown_ms: Option<u64>, now: u64) -> bool {
         if !self.is_strict {
             return true;
         }
@@ -151,34 +151,34 @@
 
 /// Names a caller's organisation in a key of the log: the start of the SHA-256 digest of its name, or 0 for none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallerMark(u64);
+pub struct OrganisationDigest(u64);
 
-impl CallerMark {
+impl OrganisationDigest {
     /// The lowest.
-    pub const FIRST: CallerMark = CallerMark(u64::MIN);
+    pub const FIRST: OrganisationDigest = OrganisationDigest(u64::MIN);
     /// The highest.
-    pub const LAST: CallerMark = CallerMark(u64::MAX);
+    pub const LAST: OrganisationDigest = OrganisationDigest(u64::MAX);
 
     /// Mark of an organisation, or of callers without one.
-    pub fn of(organisation: Option<&Arc<str>>) -> CallerMark {
+    pub fn of(organisation: Option<&Arc<str>>) -> OrganisationDigest {
         let digest = organisation.map(|name| Sha256::digest(name.as_bytes()));
         let start = digest.and_then(|digest| digest.first_chunk().copied());
-        CallerMark(start.map_or(0, u64::from_be_bytes))
+        OrganisationDigest(start.map_or(0, u64::from_be_bytes))
     }
 
     /// Reads 16 hexadecimal digits.
-    pub fn parse(text: &str) -> Option<CallerMark> {
-        let mark = u64::from_str_radix(text, 16).ok().map(CallerMark)?;
+    pub fn parse(text: &str) -> Option<OrganisationDigest> {
+        let mark = u64::from_str_radix(text, 16).ok().map(OrganisationDigest)?;
         (mark.to_string() == text).then_some(mark)
     }
 
     /// Whether such a caller may see and cancel a job of this organisation, as [`CallerAccess::may_see`] says.
     pub fn may_see(self, organisation: Option<&Arc<str>>) -> bool {
-        organisation.is_none() || self == CallerMark::of(organisation)
+        organisation.is_none() || self == OrganisationDigest::of(organisation)
     }
 }
 
-impl fmt::Display for CallerMark {
+impl fmt::Display for OrganisationDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -190,7 +190,7 @@
 /// # Errors
 /// As [`AccessRefusal`] says. A key that is unknown to a configuration that may be out of date is not called
 /// unknown: it may have been given out since.
-pub fn admit(book: Option<&AccessBook>, key: PresentedKey) -> Result<CallerAccess, AccessRefusal> {
+pub fn admit(book: Option<&AccessTable>, key: PresentedKey) -> Result<CallerAccess, AccessRefusal> {
     let PresentedKey::Given(key) = key else { return Err(AccessRefusal::NoKey) };
     let book = book.ok_or(AccessRefusal::Unconfirmed)?;
     let owner = book.owner(&key).ok_or(AccessRefusal::UnknownKey)?;
--- a/src/decide/append_room.rs
+++ b/src/decide/append_limit.rs
@@ -8,11 +8,11 @@
 /// Time in which an append is to go out.
 const SEND_TIME: Duration = Duration::from_millis(200);
 /// Least that an append takes in, in bytes.
-pub const ROOM_MIN: usize = 16 << 10;
+pub const APPEND_BYTES_MIN: usize = 16 << 10;
 /// What it takes in before anything is known of the link.
 const ROOM_FIRST: usize = 64 << 10;
 /// Most that it takes in: with the last record it stays under the 2 MB that the platform takes.
-pub const ROOM_MAX: usize = 512 << 10;
+pub const APPEND_BYTES_MAX: usize = 512 << 10;
 /// Times that the time for a body is doubled at most once the room can't shrink any more.
 const DOUBLINGS_MAX: u32 = 3;
 /// Longest time for a body: a log that was away would be called so much later.
@@ -27,11 +27,11 @@
 
 /// Time that a way is given for a body beyond that for an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CarryTime {
+pub struct SendTimeout {
     /// Once the system has taken all of it: what stands in buffers counts as taken.
-    pub whole: Duration,
+    pub after_send: Duration,
     /// Before, between two parts: buffers take parts as large as they are.
-    pub part: Duration,
+    pub stall: Duration,
 }
 
 /// How a body went out.
@@ -47,7 +47,7 @@
 
 /// Bytes for the next append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AppendRoom {
+pub struct AppendLimit {
     bytes: usize,
     /// Appends that were lost since `bytes` is at its least, and no answer came.
     lost: u32,
@@ -55,21 +55,21 @@
     log: Option<Duration>,
 }
 
-impl Default for AppendRoom {
+impl Default for AppendLimit {
     fn default() -> Self {
-        AppendRoom { bytes: ROOM_FIRST, lost: 0, log: None }
+        AppendLimit { bytes: ROOM_FIRST, lost: 0, log: None }
     }
 }
 
-impl AppendRoom {
+impl AppendLimit {
     /// Bytes from which an append takes no more.
     pub fn bytes(self) -> usize {
         self.bytes
     }
 
     /// Time that the way needs for a body of this size, by what it has carried.
-    pub fn carry_time(self, bytes: usize) -> CarryTime {
-        CarryTime { whole: self.time_of(bytes), part: self.time_of(bytes.min(BUFFERED)) }
+    pub fn send_timeout(self, bytes: usize) -> SendTimeout {
+        SendTimeout { after_send: self.time_of(bytes), stall: self.time_of(bytes.min(BUFFERED)) }
     }
 
     fn time_of(self, bytes: usize) -> Duration {
@@ -84,10 +84,10 @@
     pub fn learn(&mut self, sent: SentBody) {
         let is_full = sent.bytes >= self.bytes / 2;
         let Some(answered) = sent.answered else {
-            if is_full && self.bytes == ROOM_MIN {
+            if is_full && self.bytes == APPEND_BYTES_MIN {
                 self.lost = self.lost.saturating_add(1);
             } else if is_full {
-                self.bytes = (self.bytes / 2).max(ROOM_MIN);
+                self.bytes = (self.bytes / 2).max(APPEND_BYTES_MIN);
             }
             return;
         };
@@ -99,13 +99,13 @@
         }
         // What stands in the buffers of the way counts as sent: only the answer tells that it has passed.
         let took = sent.took.max(answered.saturating_sub(self.log.unwrap_or_default()));
-        if took > SEND_TIME && sent.bytes >= ROOM_MIN {
+        if took > SEND_TIME && sent.bytes >= APPEND_BYTES_MIN {
             let carried = u128::try_from(sent.bytes).unwrap_or(u128::MAX);
             let fitting = carried.saturating_mul(SEND_TIME.as_micros()) / took.as_micros();
-            let fitting = usize::try_from(fitting).unwrap_or(ROOM_MAX);
-            self.bytes = self.bytes.min(fitting).max(ROOM_MIN);
+            let fitting = usize::try_from(fitting).unwrap_or(APPEND_BYTES_MAX);
+            self.bytes = self.bytes.min(fitting).max(APPEND_BYTES_MIN);
         } else if is_full && took <= SEND_TIME / 2 {
-            self.bytes = (self.bytes * 2).min(ROOM_MAX);
+            self.bytes = (self.bytes * 2).min(APPEND_BYTES_MAX);
         }
     }
 }
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -19,7 +19,7 @@
 
 impl RunEstimate {
     /// Notes a run.
-    pub fn note(&mut self, run: Duration) {
+    pub fn record(&mut self, run: Duration) {
         let run = run.as_secs_f64();
         if self.runs == 0 {
             self.average = run;
@@ -38,7 +38,7 @@
     }
 
     /// A time that nearly all runs stay below; none before enough was seen.
-    pub fn slow(&self) -> Option<Duration> {
+    pub fn upper_bound(&self) -> Option<Duration> {
         let slow = self.average + DEVIATIONS * self.deviation;
         (self.runs >= RUNS_MIN).then(|| Duration::from_secs_f64(slow.max(0.0)))
     }
--- a/src/decide/executor.rs
+++ b/src/decide/executor.rs
@@ -30,7 +30,7 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// Drawn at the start of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its data centre.
     pub centre: Arc<str>,
     /// Its processor, in thousandths of a core.
@@ -40,14 +40,14 @@
     /// Time by which it holds its claims back, in milliseconds: the less, the fitter it is to lead.
     pub claim_delay_ms: u64,
     /// Whether it has a copy of the job log: an entry without one knows no job's text.
-    pub has_copy: bool,
+    pub has_replica: bool,
 }
 
 /// By what an executor tells that a batch was sent to this life of it, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorStamp {
     /// Life of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// When the batch was sent by the executor's own steady clock, in milliseconds; rather too early than
     /// too late, by the time that the offer was on its way.
     pub sent_ms: u64,
@@ -69,7 +69,7 @@
 
 impl ExecutorTable {
     /// Takes an offer.
-    pub fn heard(&mut self, offer: ExecutorOffer, now: u64) {
+    pub fn record_offer(&mut self, offer: ExecutorOffer, now: u64) {
         let address = offer.address;
         self.known
             .retain(|_, known| now < known.heard_ms + OFFER_AGE_MAX_MS || known.under_way > 0);
@@ -80,7 +80,7 @@
             passed_over_until_ms: 0,
         });
         // Another life was not there when the one before it failed.
-        if known.offer.life != offer.life {
+        if known.offer.incarnation != offer.incarnation {
             known.passed_over_until_ms = 0;
         }
         known.offer = offer;
@@ -88,12 +88,12 @@
     }
 
     /// Whether some entry can take a start.
-    pub fn has_room(&self, now: u64) -> bool {
-        self.known.values().any(|known| known.has_room(now))
+    pub fn has_capacity(&self, now: u64) -> bool {
+        self.known.values().any(|known| known.has_capacity(now))
     }
 
     /// Whether there are entries that take starts, if not at this moment.
-    pub fn has_heard(&self, now: u64) -> bool {
+    pub fn has_live_offers(&self, now: u64) -> bool {
         self.known.values().any(|known| now < known.heard_ms + OFFER_AGE_MAX_MS)
     }
 
@@ -102,21 +102,29 @@
     pub fn pick(&self, centre: &str, now: u64) -> Option<SocketAddr> {
         self.known
             .iter()
-            .filter(|(_, known)| known.has_room(now))
+            .filter(|(_, known)| known.has_capacity(now))
             .min_by_key(|(_, known)| (known.load(), &*known.offer.centre != centre))
             .map(|(address, _)| *address)
     }
 
     /// A batch of `count` starts goes to an entry; by what it tells when that was.
-    pub fn begin(&mut self, address: SocketAddr, count: usize, now: u64) -> Option<ExecutorStamp> {
+    pub fn begin_batch(
+        &mut self,
+        address: SocketAddr,
+        count: usize,
+        now: u64,
+    ) -> Option<ExecutorStamp> {
         let known = self.known.get_mut(&address)?;
         known.under_way += count;
         let since = now.saturating_sub(known.heard_ms);
-        Some(ExecutorStamp { life: known.offer.life, sent_ms: known.offer.clock_ms + since })
+        Some(ExecutorStamp {
+            incarnation: known.offer.incarnation,
+            sent_ms: known.offer.clock_ms + since,
+        })
     }
 
     /// A batch was answered, or not.
-    pub fn end(&mut self, address: SocketAddr, count: usize, is_answered: bool, now: u64) {
+    pub fn end_batch(&mut self, address: SocketAddr, count: usize, is_answered: bool, now: u64) {
         let Some(known) = self.known.get_mut(&address) else { return };
         known.under_way = known.under_way.saturating_sub(count);
         if !is_answered {
@@ -125,7 +133,7 @@
     }
 
     /// Addresses of some entries that were heard lately, of as many data centres as there are.
-    pub fn some(&self, count: usize, now: u64) -> Vec<SocketAddr> {
+    pub fn sample(&self, count: usize, now: u64) -> Vec<SocketAddr> {
         let mut heard: Vec<&KnownExecutor> =
             self.known.values().filter(|known| known.is_heard(now)).collect();
         // By the position in its data centre: the first of each, then the second.
@@ -139,7 +147,7 @@
     }
 
     /// Entries that take starts now, and starts that are under way through any.
-    pub fn census(&self, now: u64) -> (usize, usize) {
+    pub fn counts(&self, now: u64) -> (usize, usize) {
         let taking = self.known.values().filter(|known| known.is_heard(now)).count();
         (taking, self.known.values().map(|known| known.under_way).sum())
     }
@@ -157,7 +165,7 @@
         now < self.heard_ms + OFFER_AGE_MAX_MS && now >= self.passed_over_until_ms
     }
 
-    fn has_room(&self, now: u64) -> bool {
+    fn has_capacity(&self, now: u64) -> bool {
         self.is_heard(now) && self.under_way < UNDER_WAY_MAX
     }
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -254,11 +254,11 @@
 
 /// What a record did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FleetVerdict {
+pub enum FleetOutcome {
     /// It changed the state.
     Accepted,
     /// It was folded before.
-    Seen,
+    AlreadyApplied,
     /// It came from a steward whose term is over.
     StaleTerm,
     /// The rules don't allow it in this state.
@@ -267,9 +267,9 @@
 
 impl FleetState {
     /// Folds the record at `offset`.
-    pub fn apply(&mut self, offset: u64, record: &FleetRecord) -> FleetVerdict {
+    pub fn apply(&mut self, offset: u64, record: &FleetRecord) -> FleetOutcome {
         if offset < self.through {
-            return FleetVerdict::Seen;
+            return FleetOutcome::AlreadyApplied;
         }
         self.through = offset + 1;
         let verdict = match &record.body {
@@ -314,32 +314,32 @@
         }
     }
 
-    fn claim(&mut self, offset: u64, by: &EntryName, term: u64) -> FleetVerdict {
+    fn claim(&mut self, offset: u64, by: &EntryName, term: u64) -> FleetOutcome {
         if term != self.term + 1 {
-            return FleetVerdict::StaleTerm;
+            return FleetOutcome::StaleTerm;
         }
         if !self.roster.contains_key(by) {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         }
         self.term = term;
         self.steward = Some(by.clone());
         self.steward_seen = offset;
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn join(&mut self, offset: u64, record: &FleetRecord, peer: &str) -> FleetVerdict {
+    fn join(&mut self, offset: u64, record: &FleetRecord, peer: &str) -> FleetOutcome {
         if self.roster.contains_key(&record.by) || self.evicted.contains_key(&record.by) {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         }
         // Twice, so that no key that it ran is still within its window when it is forgotten.
         let forgotten = |entry: &EvictedEntry| entry.at_ms + 2 * AUTONOMY_MS < record.at_ms;
         self.evicted.retain(|_, entry| !forgotten(entry));
-        let Some(lane) = self.free_lane(record.at_ms) else { return FleetVerdict::Refused };
+        let Some(lane) = self.free_lane(record.at_ms) else { return FleetOutcome::Refused };
         let entry = RosterEntry { peer: peer.to_owned(), joined: offset, lane };
         self.roster.insert(record.by.clone(), entry);
         self.first.get_or_insert_with(|| record.by.clone());
         self.roster_epoch = offset;
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
     fn free_lane(&self, at_ms: u64) -> Option<u32> {
@@ -350,9 +350,9 @@
         (0..ENTRY_LANES).find(|lane| !held.contains(lane))
     }
 
-    fn leave(&mut self, offset: u64, by: &EntryName) -> FleetVerdict {
+    fn leave(&mut self, offset: u64, by: &EntryName) -> FleetOutcome {
         if self.roster.remove(by).is_none() {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         }
         self.roster_epoch = offset;
         self.steward = self.steward.take().filter(|steward| steward != by);
@@ -361,30 +361,30 @@
                 awaiting.remove(by);
             }
         }
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn evict(&mut self, offset: u64, at_ms: u64, entry: &EntryName) -> FleetVerdict {
-        let Some(gone) = self.roster.remove(entry) else { return FleetVerdict::Refused };
+    fn evict(&mut self, offset: u64, at_ms: u64, entry: &EntryName) -> FleetOutcome {
+        let Some(gone) = self.roster.remove(entry) else { return FleetOutcome::Refused };
         self.evicted.insert(entry.clone(), EvictedEntry { at_ms, lane: gone.lane });
         self.roster_epoch = offset;
         self.steward = self.steward.take().filter(|steward| steward != entry);
         for vm in self.vms.values_mut() {
             vm.fence(entry, at_ms);
         }
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn confirm(&mut self, vm: &VmName, by: &EntryName, drain: u64) -> FleetVerdict {
+    fn confirm(&mut self, vm: &VmName, by: &EntryName, drain: u64) -> FleetOutcome {
         let Some(VmPhase::Draining { since, awaiting, .. }) =
             self.vms.get_mut(vm).map(|vm| &mut vm.phase)
         else {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         };
         if *since == drain && awaiting.remove(by) {
-            FleetVerdict::Accepted
+            FleetOutcome::Accepted
         } else {
-            FleetVerdict::Refused
+            FleetOutcome::Refused
         }
     }
 
@@ -394,15 +394,15 @@
         record: &FleetRecord,
         term: u64,
         act: &StewardAct,
-    ) -> FleetVerdict {
+    ) -> FleetOutcome {
         // A steward frozen for minutes wakes and writes on: its term was claimed by another since.
         // Its plan rests on a state that is gone, so none of it may count.
         if term != self.term || self.steward.as_ref() != Some(&record.by) {
-            return FleetVerdict::StaleTerm;
+            return FleetOutcome::StaleTerm;
         }
         self.steward_seen = offset;
         match act {
-            StewardAct::Beat | StewardAct::Restate { .. } => FleetVerdict::Accepted,
+            StewardAct::Beat | StewardAct::Restate { .. } => FleetOutcome::Accepted,
             StewardAct::Evict { entry } => self.evict(offset, record.at_ms, entry),
             StewardAct::Assign { vm, pool, boot } => self.assign(offset, vm, pool, *boot),
             StewardAct::Drain { vm, reason, limit_ms } => {
@@ -416,15 +416,15 @@
         }
     }
 
-    fn assign(&mut self, offset: u64, vm: &VmName, pool: &PoolName, boot: u64) -> FleetVerdict {
+    fn assign(&mut self, offset: u64, vm: &VmName, pool: &PoolName, boot: u64) -> FleetOutcome {
         let state = self.vms.entry(vm.clone()).or_insert_with(spare_vm);
         // An evicted entry that is only cut off still sends the old pool's requests to this boot.
         if state.phase != VmPhase::Spare || state.fenced_boot == Some(boot) {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         }
         state.pool = Some(pool.clone());
         state.serve(offset, boot);
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
     fn drain(
@@ -434,14 +434,14 @@
         vm: &VmName,
         reason: &DrainReason,
         limit_ms: u64,
-    ) -> FleetVerdict {
+    ) -> FleetOutcome {
         // An entry evicted just now may still have requests in flight, and confirms nothing.
         let evicted = self.evicted.values().map(|entry| entry.at_ms).max();
         let orphaned_at_ms = evicted.filter(|evicted| evicted + limit_ms > at_ms);
         let awaiting: BTreeSet<EntryName> = self.roster.keys().cloned().collect();
-        let Some(state) = self.vms.get_mut(vm) else { return FleetVerdict::Refused };
+        let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         if state.phase != VmPhase::Serving {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         }
         state.phase = VmPhase::Draining {
             since: offset,
@@ -450,21 +450,21 @@
             limit_ms,
             orphaned_at_ms,
         };
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn reboot(&mut self, at_ms: u64, vm: &VmName) -> FleetVerdict {
-        let Some(state) = self.vms.get_mut(vm) else { return FleetVerdict::Refused };
+    fn reboot(&mut self, at_ms: u64, vm: &VmName) -> FleetOutcome {
+        let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         if !state.is_drained(at_ms) {
-            return FleetVerdict::Refused;
+            return FleetOutcome::Refused;
         }
-        let VmPhase::Draining { reason, .. } = &state.phase else { return FleetVerdict::Refused };
+        let VmPhase::Draining { reason, .. } = &state.phase else { return FleetOutcome::Refused };
         state.phase = VmPhase::Rebooting { reason: reason.clone() };
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn give_back(&mut self, offset: u64, vm: &VmName, boot: u64) -> FleetVerdict {
-        let Some(state) = self.vms.get_mut(vm) else { return FleetVerdict::Refused };
+    fn give_back(&mut self, offset: u64, vm: &VmName, boot: u64) -> FleetOutcome {
+        let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         let wave = match &state.phase {
             VmPhase::Rebooting { reason: DrainReason::Wave(wave) } if boot != state.boot => {
                 Some(wave.clone())
@@ -474,28 +474,28 @@
             VmPhase::Rebooting { .. }
             | VmPhase::Serving
             | VmPhase::Draining { .. }
-            | VmPhase::Spare => return FleetVerdict::Refused,
+            | VmPhase::Spare => return FleetOutcome::Refused,
         };
         if let Some(wave) = wave {
             state.note_wave(wave);
         }
         state.serve(offset, boot);
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn lose(&mut self, vm: &VmName) -> FleetVerdict {
-        let Some(state) = self.vms.get_mut(vm) else { return FleetVerdict::Refused };
+    fn lose(&mut self, vm: &VmName) -> FleetOutcome {
+        let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         let wave = match &state.phase {
-            VmPhase::Spare | VmPhase::Lost { .. } => return FleetVerdict::Refused,
+            VmPhase::Spare | VmPhase::Lost { .. } => return FleetOutcome::Refused,
             VmPhase::Rebooting { reason: DrainReason::Wave(wave) } => Some(wave.clone()),
             VmPhase::Serving | VmPhase::Draining { .. } | VmPhase::Rebooting { .. } => None,
         };
         state.phase = VmPhase::Lost { wave };
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn release(&mut self, vm: &VmName) -> FleetVerdict {
-        let Some(state) = self.vms.get_mut(vm) else { return FleetVerdict::Refused };
+    fn release(&mut self, vm: &VmName) -> FleetOutcome {
+        let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         match &state.phase {
             VmPhase::Draining { awaiting, .. } if awaiting.is_empty() => {}
             VmPhase::Rebooting { reason: DrainReason::Move } => {}
@@ -504,22 +504,22 @@
             VmPhase::Draining { .. }
             | VmPhase::Rebooting { .. }
             | VmPhase::Serving
-            | VmPhase::Spare => return FleetVerdict::Refused,
+            | VmPhase::Spare => return FleetOutcome::Refused,
         }
         state.pool = None;
         state.phase = VmPhase::Spare;
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
-    fn spend(&mut self, product: &ProductName, day: u64, worker_ms: u64) -> FleetVerdict {
+    fn spend(&mut self, product: &ProductName, day: u64, worker_ms: u64) -> FleetOutcome {
         let days = self.spent.entry(product.clone()).or_default();
         *days.entry(day).or_default() += worker_ms;
         days.retain(|kept, _| kept + BUDGET_DAYS > day);
-        FleetVerdict::Accepted
+        FleetOutcome::Accepted
     }
 
     /// What a product spent in the days up to `day`, in missing workers times milliseconds.
-    pub fn spent_ms(&self, product: &ProductName, day: u64) -> u64 {
+    pub fn spent_worker_ms(&self, product: &ProductName, day: u64) -> u64 {
         let days = self.spent.get(product).into_iter().flatten();
         days.filter(|(kept, _)| *kept + BUDGET_DAYS > day).map(|(_, spent)| spent).sum()
     }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -27,27 +27,27 @@
     failures_in_a_row: u32,
     successes_in_a_row: u32,
     times_left_out: u32,
-    standing: HealthStanding,
+    status: HealthStatus,
 }
 
 /// Whether a worker gets requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HealthStanding {
+pub enum HealthStatus {
     /// Gets its part.
     #[default]
-    Good,
+    Healthy,
     /// Gets nothing until this time, counted from the entry's start.
-    LeftOut {
+    Ejected {
         /// End of the time left out.
         until: Duration,
     },
     /// Gets one idempotent request at a time.
-    OnTrial,
+    OnProbation,
 }
 
 impl HealthRecord {
     /// Notes what became of a request.
-    pub fn note(&mut self, succeeded: bool) {
+    pub fn record(&mut self, succeeded: bool) {
         let newest = if succeeded { 0.0 } else { 1.0 };
         self.failure_rate += NEWEST_WEIGHT * (newest - self.failure_rate);
         if succeeded {
@@ -57,7 +57,7 @@
             self.successes_in_a_row = 0;
             self.failures_in_a_row += 1;
         }
-        if self.standing == HealthStanding::OnTrial && self.successes_in_a_row >= TRIAL_SUCCESSES {
+        if self.status == HealthStatus::OnProbation && self.successes_in_a_row >= TRIAL_SUCCESSES {
             *self = HealthRecord::default();
         }
     }
@@ -68,31 +68,31 @@
     }
 
     /// Standing at `now`; a time left out that is over turns into a trial.
-    pub fn standing(&mut self, now: Duration) -> HealthStanding {
-        if let HealthStanding::LeftOut { until } = self.standing
+    pub fn status(&mut self, now: Duration) -> HealthStatus {
+        if let HealthStatus::Ejected { until } = self.status
             && now >= until
         {
-            self.standing = HealthStanding::OnTrial;
+            self.status = HealthStatus::OnProbation;
             self.successes_in_a_row = 0;
             self.failures_in_a_row = 0;
         }
-        self.standing
+        self.status
     }
 
     /// Whether this worker is to be left out, given the failure rates of its whole pool and how
     /// many of it are left out already.
-    pub fn is_to_leave(&self, pool_rates: &mut [f64], left_out: usize) -> bool {
-        let trial_failed = self.standing == HealthStanding::OnTrial && self.failures_in_a_row > 0;
+    pub fn is_ejection_due(&self, pool_rates: &mut [f64], left_out: usize) -> bool {
+        let trial_failed = self.status == HealthStatus::OnProbation && self.failures_in_a_row > 0;
         let judged = self.failures_in_a_row >= FAILURES_IN_A_ROW || trial_failed;
         let room = left_out < most_left_out(pool_rates.len());
         judged && room && (trial_failed || self.failure_rate > median(pool_rates) + ABOVE_MEDIAN)
     }
 
     /// Leaves the worker out; each time for longer.
-    pub fn leave_out(&mut self, now: Duration, first: Duration) {
+    pub fn eject(&mut self, now: Duration, first: Duration) {
         let factor = 1u32.checked_shl(self.times_left_out).unwrap_or(BACKOFF_MAX).min(BACKOFF_MAX);
         self.times_left_out += 1;
-        self.standing = HealthStanding::LeftOut { until: now + first * factor };
+        self.status = HealthStatus::Ejected { until: now + first * factor };
     }
 }
 
--- a/src/decide/intent.rs
+++ b/src/decide/intent.rs
@@ -14,7 +14,7 @@
 use crate::document::{self, IntentDocument};
 
 /// Publishes whose verdict is remembered, for publishers that lost the answer.
-pub const VERDICTS_KEPT: usize = 512;
+pub const OUTCOMES_KEPT: usize = 512;
 
 /// One record of the `intent` stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 /// What became of a publish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum IntentVerdict {
+pub enum PublishOutcome {
     /// In force as this revision.
     Accepted {
         /// The new revision.
@@ -82,7 +82,7 @@
 
 /// Verdict on one publish, as history shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VerdictLine {
+pub struct PublishResult {
     /// Offset of the record.
     pub offset: u64,
     /// Id of the publish.
@@ -92,7 +92,8 @@
     /// Publisher's wall clock, in milliseconds since the epoch.
     pub at_ms: u64,
     /// What became of it.
-    pub verdict: IntentVerdict,
+    #[serde(rename = "verdict")]
+    pub outcome: PublishOutcome,
 }
 
 /// State of the fold; serialized whole in a restatement and between peers.
@@ -106,7 +107,8 @@
     #[serde(default)]
     pub restated: u64,
     /// The newest verdicts, oldest first.
-    pub verdicts: VecDeque<VerdictLine>,
+    #[serde(rename = "verdicts")]
+    pub outcomes: VecDeque<PublishResult>,
 }
 
 impl IntentState {
@@ -142,8 +144,8 @@
     }
 
     /// What became of a publish, if it was folded and is still remembered.
-    pub fn verdict(&self, id: &Uuid) -> Option<IntentVerdict> {
-        self.verdicts.iter().find(|line| line.id == *id).map(|line| line.verdict)
+    pub fn outcome(&self, id: &Uuid) -> Option<PublishOutcome> {
+        self.outcomes.iter().find(|line| line.id == *id).map(|line| line.outcome)
     }
 
     fn publish(
@@ -155,13 +157,13 @@
     ) {
         // The first try's answer was lost after the append took effect; the publisher tried again.
         // The base rule alone would refuse the copy, but would then tell the winner that it lost.
-        if self.verdict(&record.id).is_some() {
+        if self.outcome(&record.id).is_some() {
             return;
         }
-        let verdict = if base != self.revision() {
-            IntentVerdict::Lost { current: self.revision() }
+        let outcome = if base != self.revision() {
+            PublishOutcome::Lost { current: self.revision() }
         } else if !document::check(document).is_empty() {
-            IntentVerdict::Faulty
+            PublishOutcome::Faulty
         } else {
             let accepted = AcceptedIntent {
                 revision: offset,
@@ -171,18 +173,18 @@
                 document: document.clone(),
             };
             self.accept(accepted);
-            IntentVerdict::Accepted { revision: offset }
+            PublishOutcome::Accepted { revision: offset }
         };
-        let line = VerdictLine {
+        let line = PublishResult {
             offset,
             id: record.id,
             by: record.by.clone(),
             at_ms: record.at_ms,
-            verdict,
+            outcome,
         };
-        self.verdicts.push_back(line);
-        if self.verdicts.len() > VERDICTS_KEPT {
-            self.verdicts.pop_front();
+        self.outcomes.push_back(line);
+        if self.outcomes.len() > OUTCOMES_KEPT {
+            self.outcomes.pop_front();
         }
     }
 
--- a/src/decide/key.rs
+++ b/src/decide/key.rs
@@ -81,7 +81,7 @@
 
 /// What to do with a request that carries a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeyStep {
+pub enum KeyDecision {
     /// Run it; `finish` must follow.
     Run,
     /// It ran; this was its answer.
@@ -135,28 +135,28 @@
         fingerprint: u64,
         right: KeyRight,
         wall_ms: u64,
-    ) -> KeyStep {
+    ) -> KeyDecision {
         if !self.is_in_window(key, wall_ms) {
-            return KeyStep::Answer(ResultCode::BadKey);
+            return KeyDecision::Answer(ResultCode::BadKey);
         }
         let floor_ms = match right {
-            KeyRight::Other => return KeyStep::Forward,
-            KeyRight::Wait => return KeyStep::Answer(ResultCode::KeyOwnerStale),
+            KeyRight::Other => return KeyDecision::Forward,
+            KeyRight::Wait => return KeyDecision::Answer(ResultCode::KeyOwnerStale),
             KeyRight::Own { floor_ms } => floor_ms,
         };
         if let Some(record) = self.records.get(&key.id) {
             return record.step(fingerprint);
         }
         if key.minted_ms < floor_ms {
-            return KeyStep::Answer(ResultCode::KeyOutcomeLost);
+            return KeyDecision::Answer(ResultCode::KeyOutcomeLost);
         }
         self.forget(wall_ms);
         if self.records.len() >= self.limits.keys_max {
-            return KeyStep::Answer(ResultCode::KeyTableFull);
+            return KeyDecision::Answer(ResultCode::KeyTableFull);
         }
         let outcome = KeyOutcome::Running;
         self.put(KeyRecord { id: key.id, minted_ms: key.minted_ms, fingerprint, outcome });
-        KeyStep::Run
+        KeyDecision::Run
     }
 
     /// Whether a key is being run.
@@ -222,14 +222,14 @@
 }
 
 impl KeyRecord {
-    fn step(&self, fingerprint: u64) -> KeyStep {
+    fn step(&self, fingerprint: u64) -> KeyDecision {
         if self.fingerprint != fingerprint {
-            return KeyStep::Answer(ResultCode::KeyReused);
+            return KeyDecision::Answer(ResultCode::KeyReused);
         }
         match &self.outcome {
-            KeyOutcome::Running => KeyStep::Answer(ResultCode::KeyInFlight),
-            KeyOutcome::Unknown => KeyStep::Answer(ResultCode::Unknown),
-            KeyOutcome::Done(answer) => KeyStep::Replay(answer.clone()),
+            KeyOutcome::Running => KeyDecision::Answer(ResultCode::KeyInFlight),
+            KeyOutcome::Unknown => KeyDecision::Answer(ResultCode::Unknown),
+            KeyOutcome::Done(answer) => KeyDecision::Replay(answer.clone()),
         }
     }
 }
--- a/src/decide/leadership.rs
+++ b/src/decide/leadership.rs
@@ -10,14 +10,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::replica::{ReplicaList, volunteer_after_ms};
+use crate::decide::replica::{ReplicaList, unlisted_replica_after_ms};
 
 /// Time without a renewal after which others may claim, in milliseconds: three renewals, and room
 /// for a log that takes 300 ms to answer.
-pub const SILENCE_MS: u64 = 1_400;
+pub const RENEWAL_TIMEOUT_MS: u64 = 1_400;
 /// The same where an entry has found the holder's address closed: its process has ended, and only a
 /// renewal or two that are under way are waited for.
-pub const CLOSED_SILENCE_MS: u64 = 800;
+pub const CLOSED_RENEWAL_TIMEOUT_MS: u64 = 800;
 /// Processor, in thousandths of a core, and link, in Mbit/s, from which a VM is fit to lead at any size:
 /// placing the jobs of 350 workers takes a tenth of a core, and its log traffic a few Mbit/s.
 const FIT_PROCESSOR: u64 = 250;
@@ -36,7 +36,7 @@
 const EARLIER_END: [u8; 3] = [0, 0, 0];
 
 /// Time between two renewals, in milliseconds.
-pub const RENEWAL_MS: u64 = 450;
+pub const RENEWAL_INTERVAL_MS: u64 = 450;
 
 /// What a record of the stream says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
     /// Name of the holder.
     pub holder: Arc<str>,
     /// Drawn at the start of the holder's process: a restarted one is another holder.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where other entries reach the holder.
     pub address: SocketAddr,
     /// Who keeps a copy of the job log.
@@ -80,7 +80,7 @@
     /// Name of its VM.
     pub name: Arc<str>,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Time by which it holds its claims back, in milliseconds.
     pub delay_ms: u64,
 }
@@ -98,7 +98,7 @@
 
 /// The leader before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeaderTrace {
+pub struct PreviousLeader {
     /// When it was last seen, in milliseconds.
     pub seen_ms: u64,
     /// How it ended.
@@ -132,7 +132,7 @@
 
 impl LeadershipView {
     /// Takes the record at `offset`.
-    pub fn fold(&mut self, offset: u64, record: &LeadershipRecord, now: u64) {
+    pub fn apply(&mut self, offset: u64, record: &LeadershipRecord, now: u64) {
         self.end = self.end.max(offset + 1);
         self.seen_ms = Some(now);
         self.address = (record.act != LeadershipAct::Resign).then_some(record.address);
@@ -141,14 +141,14 @@
         match record.act {
             LeadershipAct::Claim => {
                 self.term = offset + 1;
-                self.holder = Some((record.holder.clone(), record.life));
+                self.holder = Some((record.holder.clone(), record.incarnation));
                 self.has_resigned = false;
                 self.unanswered_ms = None;
             }
             LeadershipAct::Renew => {
                 // A reader that has missed the claim still learns who leads.
                 if self.holder.is_none() {
-                    self.holder = Some((record.holder.clone(), record.life));
+                    self.holder = Some((record.holder.clone(), record.incarnation));
                 }
             }
             LeadershipAct::Resign => self.has_resigned = true,
@@ -158,26 +158,26 @@
     /// A renewal of our own was appended, so that the stream ends at `end`. A leader that reads none of its
     /// renewals would take its term for one that ended soon after its claim, if it had to follow itself, and
     /// the leases that it gave since for over.
-    pub fn renewed(&mut self, end: u64, now: u64) {
+    pub fn record_renewal(&mut self, end: u64, now: u64) {
         self.end = end;
         self.seen_ms = Some(now);
         self.unanswered_ms = None;
     }
 
     /// A renewal of our own that was sent at `sent_ms` had no answer: it may be on the stream, or may be yet.
-    pub fn unanswered(&mut self, sent_ms: u64) {
+    pub fn record_unanswered(&mut self, sent_ms: u64) {
         self.unanswered_ms.get_or_insert(sent_ms);
     }
 
     /// Our renewal was found on the stream: when it was sent at the earliest, in milliseconds. Later tries
     /// named the same end, and others may have read the first one and counted our silence from it.
-    pub fn found(&mut self) -> Option<u64> {
+    pub fn take_unanswered(&mut self) -> Option<u64> {
         self.unanswered_ms.take()
     }
 
     /// The records before `first` were dropped before they were read: a claim may be among them, so nobody is known to
     /// lead until the next record.
-    pub fn missed(&mut self, first: u64, now: u64) {
+    pub fn skip_to(&mut self, first: u64, now: u64) {
         self.end = self.end.max(first);
         self.seen_ms = Some(now);
         self.holder = None;
@@ -186,7 +186,7 @@
     }
 
     /// The stream was read to its end.
-    pub fn reached(&mut self, end: u64, now: u64) {
+    pub fn record_read(&mut self, end: u64, now: u64) {
         self.end = self.end.max(end);
         self.contact_ms.get_or_insert(now);
     }
@@ -197,7 +197,7 @@
     }
 
     /// A read failed: a renewal may have been missed since.
-    pub fn lost_contact(&mut self) {
+    pub fn record_read_failure(&mut self) {
         self.contact_ms = None;
     }
 
@@ -212,50 +212,52 @@
         let Some(seen) = self.seen_ms else {
             return Some((contact + own.delay_ms).saturating_sub(now));
         };
-        if self.was_earlier_life(own) {
+        if self.is_earlier_incarnation(own) {
             return Some(0);
         }
         let quiet_since = seen.max(contact);
         if self.has_resigned {
             return Some((quiet_since + own.delay_ms).saturating_sub(now));
         }
-        let silence = if is_closed { CLOSED_SILENCE_MS } else { SILENCE_MS };
+        let silence = if is_closed { CLOSED_RENEWAL_TIMEOUT_MS } else { RENEWAL_TIMEOUT_MS };
         Some((quiet_since + silence + own.delay_ms).saturating_sub(now))
     }
 
     /// Whether the entry at `address` keeps a copy of the job log. Before any record was read to tell who does, the
     /// log is new, and empty.
-    pub fn keeps_copy(&self, own: &HolderId, address: SocketAddr, now: u64) -> bool {
+    pub fn is_replica(&self, own: &HolderId, address: SocketAddr, now: u64) -> bool {
         let Some(seen) = self.seen_ms else { return true };
-        if self.replicas.is_empty() && self.holder.is_some() || self.replicas.has(address) {
+        if self.replicas.is_empty() && self.holder.is_some() || self.replicas.contains(address) {
             return true;
         }
         let quiet_since = self.contact_ms.map(|contact| contact.max(seen));
-        let after = SILENCE_MS + volunteer_after_ms(self.replicas.entries, own.life);
+        let after =
+            RENEWAL_TIMEOUT_MS + unlisted_replica_after_ms(self.replicas.entries, own.incarnation);
         quiet_since.is_some_and(|quiet| now >= quiet + after)
     }
 
     /// Whether an earlier life of this process leads: it has ended, or this one would not run.
-    fn was_earlier_life(&self, own: &HolderId) -> bool {
-        self.holder.as_ref().is_some_and(|(name, life)| *name == own.name && *life != own.life)
+    fn is_earlier_incarnation(&self, own: &HolderId) -> bool {
+        self.holder
+            .as_ref()
+            .is_some_and(|(name, incarnation)| *name == own.name && *incarnation != own.incarnation)
     }
 
     /// What `own` knows of the leader before it; nothing if it saw none.
-    pub fn predecessor(&self, own: &HolderId) -> Option<LeaderTrace> {
-        let end = match (self.has_resigned, self.was_earlier_life(own)) {
+    pub fn predecessor(&self, own: &HolderId) -> Option<PreviousLeader> {
+        let end = match (self.has_resigned, self.is_earlier_incarnation(own)) {
             (true, _) => PredecessorEnd::Resigned,
             (false, true) => PredecessorEnd::Restarted,
             (false, false) => PredecessorEnd::Unknown,
         };
-        self.seen_ms.map(|seen_ms| LeaderTrace { seen_ms, end })
+        self.seen_ms.map(|seen_ms| PreviousLeader { seen_ms, end })
     }
 
     /// Whether this process made the newest claim.
     pub fn is_held_by(&self, own: &HolderId) -> bool {
         !self.has_resigned
-            && self
-                .holder
-                .as_ref()
-                .is_some_and(|(name, life)| *name == own.name && *life == own.life)
+            && self.holder.as_ref().is_some_and(|(name, incarnation)| {
+                *name == own.name && *incarnation == own.incarnation
+            })
     }
 }
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -11,12 +11,12 @@
 
 /// Who has confirmed an entry's place on the roster, and when it was asked.
 #[derive(Clone, Debug, Default)]
-pub struct PlaceLease {
+pub struct RosterLease {
     log: Option<Moment>,
     peers: BTreeMap<EntryName, Moment>,
 }
 
-impl PlaceLease {
+impl RosterLease {
     /// Notes that a read of the log, asked for at `asked`, showed the place at the log's end.
     pub fn confirm_by_log(&mut self, asked: Moment) {
         self.log = Some(asked);
@@ -50,7 +50,7 @@
     }
 
     /// Whether the platform or a peer was heard within `time`.
-    pub fn was_heard(&self, time: Duration, now: Moment) -> bool {
+    pub fn has_contact_within(&self, time: Duration, now: Moment) -> bool {
         self.log.iter().chain(self.peers.values()).any(|asked| age(*asked, now) < time)
     }
 }
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -23,7 +23,7 @@
 /// Copies in each data centre, however many there are: one may be lost, and the other goes on answering.
 const CENTRE_MIN: usize = 2;
 /// Least time between two offers of an entry, in milliseconds.
-pub const OFFER_GAP_MS: u64 = 1_200;
+pub const OFFER_INTERVAL_MS: u64 = 1_200;
 /// Part of a second that the leader spends on each entry's offers: it takes 200 a second, however many entries there are.
 const OFFER_SPREAD_MS: u64 = 5;
 /// Offers that may be lost before an entry counts as gone.
@@ -43,7 +43,7 @@
 
 impl ReplicaList {
     /// Whether an entry is listed.
-    pub fn has(&self, address: SocketAddr) -> bool {
+    pub fn contains(&self, address: SocketAddr) -> bool {
         self.centres.values().any(|replicas| replicas.contains(&address))
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Those that a question is put to, in turn: the ones beside the asking entry first, each time another of them.
-    pub fn order(&self, centre: &str, turn: usize) -> Vec<SocketAddr> {
+    pub fn query_order(&self, centre: &str, turn: usize) -> Vec<SocketAddr> {
         let rotated = |replicas: Vec<SocketAddr>| {
             let start = turn % replicas.len().max(1);
             let (last, first) = replicas.split_at(start.min(replicas.len()));
@@ -73,22 +73,22 @@
 }
 
 /// Time between two offers of an entry that keeps no copy, in milliseconds, by how many entries there are.
-pub fn offer_gap_ms(entries: u32) -> u64 {
-    OFFER_GAP_MS.max(u64::from(entries) * OFFER_SPREAD_MS)
+pub fn offer_interval_ms(entries: u32) -> u64 {
+    OFFER_INTERVAL_MS.max(u64::from(entries) * OFFER_SPREAD_MS)
 }
 
 /// Time without a leader after which an entry that is not listed makes a copy, in milliseconds: spread so that about as
 /// many a second do as are needed in all.
-pub fn volunteer_after_ms(entries: u32, life: u64) -> u64 {
+pub fn unlisted_replica_after_ms(entries: u32, incarnation: u64) -> u64 {
     let spread = u64::from(entries) * 1_000 / REPLICAS_MAX as u64;
-    VOLUNTEER_MS + life % spread.max(1)
+    VOLUNTEER_MS + incarnation % spread.max(1)
 }
 
 #[derive(Clone, Debug)]
 struct KnownEntry {
     centre: Arc<str>,
     claim_delay_ms: u64,
-    has_copy: bool,
+    has_replica: bool,
     heard_ms: u64,
 }
 
@@ -102,7 +102,7 @@
 
 impl ReplicaPlanner {
     /// One that goes on with what the leader before has listed.
-    pub fn open(list: ReplicaList, now: u64) -> ReplicaPlanner {
+    pub fn resume(list: ReplicaList, now: u64) -> ReplicaPlanner {
         ReplicaPlanner { known: BTreeMap::new(), list, opened_ms: now }
     }
 
@@ -112,11 +112,11 @@
     }
 
     /// Takes an entry's offer.
-    pub fn heard(&mut self, offer: &ExecutorOffer, now: u64) {
+    pub fn record_offer(&mut self, offer: &ExecutorOffer, now: u64) {
         let entry = KnownEntry {
             centre: offer.centre.clone(),
             claim_delay_ms: offer.claim_delay_ms,
-            has_copy: offer.has_copy,
+            has_replica: offer.has_replica,
             heard_ms: now,
         };
         self.known.insert(offer.address, entry);
@@ -124,10 +124,10 @@
 
     /// Who keeps a copy from now on.
     pub fn plan(&mut self, now: u64) -> &ReplicaList {
-        let age_max = |gap_ms: u64| OFFERS_LOST * gap_ms + OFFER_GAP_MS / 3;
-        let slow = age_max(offer_gap_ms(self.list.entries));
+        let age_max = |gap_ms: u64| OFFERS_LOST * gap_ms + OFFER_INTERVAL_MS / 3;
+        let slow = age_max(offer_interval_ms(self.list.entries));
         self.known.retain(|address, entry| {
-            let age = if self.list.has(*address) { age_max(OFFER_GAP_MS) } else { slow };
+            let age = if self.list.contains(*address) { age_max(OFFER_INTERVAL_MS) } else { slow };
             now < entry.heard_ms + age
         });
         // Until every entry has had the time for an offer, those that were not heard of are not taken for gone.
@@ -148,7 +148,7 @@
     fn choose(&self, is_warm: bool) -> Vec<(Arc<str>, SocketAddr)> {
         let mut centres: BTreeMap<&Arc<str>, Vec<(u64, bool, SocketAddr)>> = BTreeMap::new();
         for (address, entry) in &self.known {
-            let key = (entry.claim_delay_ms, !entry.has_copy, *address);
+            let key = (entry.claim_delay_ms, !entry.has_replica, *address);
             centres.entry(&entry.centre).or_default().push(key);
         }
         let is_small = usize::try_from(self.list.entries).is_ok_and(|all| all <= REPLICAS_MAX);
@@ -166,7 +166,7 @@
             let quota = if is_warm { quota } else { quota.saturating_sub(listed(centre)) };
             let addresses = entries.into_iter().map(|(_, _, address)| address);
             let others: Vec<SocketAddr> = addresses
-                .filter(|address| is_warm || !self.list.has(*address))
+                .filter(|address| is_warm || !self.list.contains(*address))
                 .take(quota)
                 .collect();
             others.into_iter().map(move |address| (centre.clone(), address))
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -104,12 +104,12 @@
     }
 
     /// Notes a request.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.per_request).min(BUDGET_RESERVE.max(self.per_request));
     }
 
     /// Takes one retry, if one is left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
@@ -135,11 +135,11 @@
 
 /// Whether an attempt that was not run may be made again elsewhere. It costs the worker nothing,
 /// so only the number of attempts and the deadline bound it.
-pub fn may_go_elsewhere(state: &RetryState) -> bool {
+pub fn may_retry(state: &RetryState) -> bool {
     state.attempts < state.attempts_max && state.left > state.typical
 }
 
 /// Whether an attempt that may have run, or that failed, may be made again elsewhere.
 pub fn may_run_again(state: &RetryState, budget: &mut RetryBudget) -> bool {
-    state.idempotent && may_go_elsewhere(state) && budget.take()
+    state.idempotent && may_retry(state) && budget.try_withdraw()
 }
--- a/src/decide/roster.rs
+++ b/src/decide/roster.rs
@@ -104,7 +104,7 @@
 
 /// The rosters that an entry has adopted and what it knows of earlier owners.
 #[derive(Debug)]
-pub struct OwnerBook {
+pub struct KeyOwnership {
     me: EntryName,
     times: LeaseTimes,
     rosters: VecDeque<AdoptedRoster>,
@@ -118,10 +118,10 @@
     first_floor_ms: u64,
 }
 
-impl OwnerBook {
+impl KeyOwnership {
     /// A book without a roster; owns nothing.
     pub fn new(me: EntryName, times: LeaseTimes) -> Self {
-        OwnerBook {
+        KeyOwnership {
             me,
             times,
             rosters: VecDeque::new(),
@@ -202,14 +202,14 @@
     }
 
     /// Notes that an entry has shown that it knows us.
-    pub fn acquaint(&mut self, entry: &EntryName) {
+    pub fn mark_aware(&mut self, entry: &EntryName) {
         self.acquainted.insert(entry.clone());
     }
 
     /// Notes a hand-over: `from` runs none of our keys any more, and neither does any of `retired`,
     /// whose lease needed its word. The last one comes before a planned stop.
-    pub fn handed_over(&mut self, handed: &HandedOver<'_>) {
-        self.acquaint(handed.from);
+    pub fn record_hand_over(&mut self, handed: &HandOverNotice<'_>) {
+        self.mark_aware(handed.from);
         let state = FormerOwner::HandedOver { floor_ms: handed.floor_ms };
         if let Some(awaited) = self.at_join.get_mut(handed.from)
             && *awaited == FormerOwner::Awaited
@@ -309,7 +309,7 @@
 
 /// What a hand-over says besides the outcomes.
 #[derive(Clone, Copy, Debug)]
-pub struct HandedOver<'a> {
+pub struct HandOverNotice<'a> {
     /// Who hands over.
     pub from: &'a EntryName,
     /// Unknown keys minted before it may have run.
--- a/src/decide/slot.rs
+++ b/src/decide/slot.rs
@@ -27,7 +27,7 @@
 
     /// Most requests that this entry may have in flight at a worker that it tries now and then
     /// although it seems full; 0 if it never does.
-    fn try_limit(&self, _view: &SlotView) -> u32 {
+    fn probe_limit(&self, _view: &SlotView) -> u32 {
         0
     }
 
@@ -53,7 +53,7 @@
         left.max(fair_share(view.slots, entries)).min(view.connections)
     }
 
-    fn try_limit(&self, view: &SlotView) -> u32 {
+    fn probe_limit(&self, view: &SlotView) -> u32 {
         view.slots.min(view.connections)
     }
 
@@ -101,9 +101,9 @@
 
 /// Baseline: a worker at random, without a look at its load, as round robin over many callers is.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BlindChoice;
+pub struct RandomChoice;
 
-impl SlotPolicy for BlindChoice {
+impl SlotPolicy for RandomChoice {
     fn limit(&self, view: &SlotView, _entries: u32) -> u32 {
         view.connections
     }
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -27,7 +27,7 @@
     /// Boot number of its newest answer.
     pub boot: u64,
     /// Whether the newest probe was answered.
-    pub answers: bool,
+    pub is_answering: bool,
     /// Milliseconds since it last answered.
     pub silent_ms: u64,
 }
@@ -74,7 +74,7 @@
 
 /// Workers of a product by what they do, over all data centres.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ProductLoad {
+pub struct ProductWorkers {
     /// Workers that serve.
     pub serving: u32,
     /// Workers that are drained or rebooted on purpose.
@@ -84,13 +84,16 @@
 }
 
 /// Counts every product's workers over the folds of all data centres, in one pass.
-pub fn product_loads<'a>(
+pub fn product_workers<'a>(
     document: &'a IntentDocument,
     fleets: &BTreeMap<CentreName, Arc<FleetState>>,
-) -> HashMap<&'a ProductName, ProductLoad> {
+) -> HashMap<&'a ProductName, ProductWorkers> {
     let product_of = products_by_pool(document);
-    let mut loads: HashMap<&ProductName, ProductLoad> =
-        document.products.iter().map(|product| (&product.name, ProductLoad::default())).collect();
+    let mut loads: HashMap<&ProductName, ProductWorkers> = document
+        .products
+        .iter()
+        .map(|product| (&product.name, ProductWorkers::default()))
+        .collect();
     for state in fleets.values().flat_map(|fleet| fleet.vms.values()) {
         let product = state.pool.as_ref().and_then(|pool| product_of.get(pool));
         let Some(load) = product.and_then(|product| loads.get_mut(product)) else { continue };
@@ -109,7 +112,7 @@
 }
 
 /// Workers that a product lacks now.
-pub fn shortfall(document: &IntentDocument, load: &ProductLoad, product: &ProductSpec) -> u32 {
+pub fn shortfall(document: &IntentDocument, load: &ProductWorkers, product: &ProductSpec) -> u32 {
     // Before the first placement is through, the fleet is being set up and not short.
     let placed = load.serving + load.planned + load.lost;
     let capacity = product.capacity.min(document.workers_of(&product.name));
@@ -142,7 +145,7 @@
     specs: BTreeMap<&'a VmName, &'a VmSpec>,
     limit_ms: u64,
     taken: BTreeSet<VmName>,
-    loads: HashMap<&'a ProductName, ProductLoad>,
+    loads: HashMap<&'a ProductName, ProductWorkers>,
     product_of: HashMap<&'a PoolName, &'a ProductName>,
     /// Serving workers of each product by rack, this step's drains taken off.
     racks: HashMap<&'a ProductName, HashMap<RackKey<'a>, u32>>,
@@ -161,7 +164,7 @@
             specs: own.map(|vm| (&vm.name, vm)).collect(),
             limit_ms: input.document.longest_time_limit_ms(),
             taken: BTreeSet::new(),
-            loads: product_loads(input.document, input.fleets),
+            loads: product_workers(input.document, input.fleets),
             racks: serving_by_rack(input, &product_of),
             product_of,
             acts: Vec::new(),
@@ -173,7 +176,7 @@
     }
 
     fn is_up(&self, vm: &VmName) -> Option<u64> {
-        self.probe(vm).filter(|probe| probe.answers).map(|probe| probe.boot)
+        self.probe(vm).filter(|probe| probe.is_answering).map(|probe| probe.boot)
     }
 
     /// Takes drains and reboots that have begun to their end.
@@ -213,21 +216,22 @@
     fn watch(&mut self) {
         for (vm, state) in &self.fleet.vms {
             let Some(probe) = self.probe(vm) else { continue };
-            let lost = !probe.answers && probe.silent_ms >= self.input.times.lost_after_ms;
+            let lost = !probe.is_answering && probe.silent_ms >= self.input.times.lost_after_ms;
             match &state.phase {
                 VmPhase::Serving if lost => self.acts.push(StewardAct::Lost { vm: vm.clone() }),
-                VmPhase::Serving if probe.answers && probe.boot != state.boot => {
+                VmPhase::Serving if probe.is_answering && probe.boot != state.boot => {
                     self.acts.push(StewardAct::Return { vm: vm.clone(), boot: probe.boot });
                 }
                 VmPhase::Draining { .. } if lost => {
                     self.acts.push(StewardAct::Lost { vm: vm.clone() });
                 }
                 VmPhase::Rebooting { .. }
-                    if !probe.answers && probe.silent_ms >= self.input.times.replace_after_ms =>
+                    if !probe.is_answering
+                        && probe.silent_ms >= self.input.times.replace_after_ms =>
                 {
                     self.acts.push(StewardAct::Lost { vm: vm.clone() });
                 }
-                VmPhase::Lost { .. } if probe.answers => {
+                VmPhase::Lost { .. } if probe.is_answering => {
                     self.acts.push(StewardAct::Return { vm: vm.clone(), boot: probe.boot });
                 }
                 VmPhase::Lost { .. }
@@ -397,7 +401,7 @@
     fn budget_left_ms(&self, product: &ProductSpec) -> u64 {
         let day = self.input.wall_ms / DAY_MS;
         let fleets = self.input.fleets.values();
-        let spent: u64 = fleets.map(|fleet| fleet.spent_ms(&product.name, day)).sum();
+        let spent: u64 = fleets.map(|fleet| fleet.spent_worker_ms(&product.name, day)).sum();
         (u64::from(product.budget_worker_minutes) * 60_000).saturating_sub(spent)
     }
 
--- a/src/decide/window.rs
+++ b/src/decide/window.rs
@@ -79,7 +79,7 @@
 
     /// Time that answers wait in a line of ours, in milliseconds: the smoothed delay less the shortest, and less
     /// what the process is late by itself.
-    pub fn line_ms(&self, now: u64) -> u64 {
+    pub fn queue_delay_ms(&self, now: u64) -> u64 {
         if now >= self.learnt_ms + LINE_AGE_MS {
             return 0;
         }
@@ -88,7 +88,7 @@
 
     /// A command was answered after `delay_us` microseconds, or given up after that time. `is_full` tells
     /// whether others wait for it: a window that is not used says nothing about what would fit.
-    pub fn ended(&mut self, delay_us: u64, is_answered: bool, is_full: bool, now: u64) {
+    pub fn record_end(&mut self, delay_us: u64, is_answered: bool, is_full: bool, now: u64) {
         self.unanswered = self.unanswered << 1 | u16::from(!is_answered);
         if !is_answered && self.unanswered.count_ones() * 2 <= ENDS_KEPT {
             return;
@@ -148,13 +148,13 @@
 
 impl ByteBudget {
     /// A budget of so many Mbit/s; under one of these, none at all.
-    pub fn open(mbits: u64) -> ByteBudget {
+    pub fn with_rate(mbits: u64) -> ByteBudget {
         let bytes_per_ms = mbits * BYTES_PER_MS;
         ByteBudget { bytes_per_ms, left: 0, owed: 0, filled_ms: 0 }
     }
 
     /// Whether anything is left.
-    pub fn has_room(&mut self, now: u64) -> bool {
+    pub fn has_capacity(&mut self, now: u64) -> bool {
         let since = now.saturating_sub(self.filled_ms).min(BUDGET_SPAN_MS);
         self.filled_ms = now;
         let filled = self.bytes_per_ms * since;
--- a/src/gate.rs
+++ b/src/gate.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::{ProcessClock, millis};
 use crate::connection::ConnectionPool;
-use crate::decide::health::{HealthRecord, HealthStanding};
+use crate::decide::health::{HealthRecord, HealthStatus};
 use crate::decide::slot::{SlotPolicy, SlotView};
 use crate::decide::table::TargetRoute;
 use crate::error::ResultCode;
@@ -163,8 +163,8 @@
     }
 
     /// Whether the worker is left out now.
-    pub fn is_left_out(&self, now: Duration) -> bool {
-        matches!(self.lock_health().standing(now), HealthStanding::LeftOut { .. })
+    pub fn is_ejected(&self, now: Duration) -> bool {
+        matches!(self.lock_health().status(now), HealthStatus::Ejected { .. })
     }
 }
 
@@ -348,7 +348,7 @@
     /// Whether a worker can be used now or soon.
     pub fn is_usable(&self) -> bool {
         let now = self.clock.steady();
-        self.targets.load().iter().any(|target| !target.is_left_out(now))
+        self.targets.load().iter().any(|target| !target.is_ejected(now))
     }
 
     /// A place at a worker, at once or after a wait of at most `queue_max` others.
@@ -381,7 +381,7 @@
     pub fn note(&self, target: &PoolTarget, succeeded: bool) {
         let now = self.clock.steady();
         let mut health = target.lock_health();
-        health.note(succeeded);
+        health.record(succeeded);
         if succeeded {
             target.stalls.store(0, Ordering::Release);
             // The slot of this very run is free now, whatever the worker said a moment ago.
@@ -393,13 +393,13 @@
         }
         let targets = self.targets.load();
         let others = targets.iter().filter(|other| !std::ptr::eq(&raw const ***other, target));
-        let left_out = others.filter(|other| other.is_left_out(now)).count();
+        let left_out = others.filter(|other| other.is_ejected(now)).count();
         let mut rates: Vec<f64> = targets
             .iter()
             .map(|other| f64::from_bits(other.failure_rate.load(Ordering::Acquire)))
             .collect();
-        if health.is_to_leave(&mut rates, left_out) {
-            health.leave_out(now, self.eject_time);
+        if health.is_ejection_due(&mut rates, left_out) {
+            health.eject(now, self.eject_time);
             self.metrics.left_out.inc();
         }
     }
@@ -548,7 +548,7 @@
     fn limit(&self, target: &PoolTarget, class: WorkClass, is_try: bool) -> u32 {
         let view = target.view();
         let limit = match is_try {
-            true => self.policy.try_limit(&view),
+            true => self.policy.probe_limit(&view),
             false => self.policy.limit(&view, self.entries.load(Ordering::Acquire)),
         };
         match class {
@@ -560,10 +560,10 @@
 }
 
 fn may_take(target: &PoolTarget, request: &GateRequest, now: Duration) -> bool {
-    match target.lock_health().standing(now) {
-        HealthStanding::Good => true,
-        HealthStanding::LeftOut { .. } => false,
-        HealthStanding::OnTrial => request.idempotent && target.in_flight() == 0,
+    match target.lock_health().status(now) {
+        HealthStatus::Healthy => true,
+        HealthStatus::Ejected { .. } => false,
+        HealthStatus::OnProbation => request.idempotent && target.in_flight() == 0,
     }
 }
 
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -166,7 +166,7 @@
         let me = fleet.roster.get(&*self.membership.name());
         // It acts on a roster that has us, so it asks for our word before it renews its lease.
         if word.roster_epoch.zip(me).is_some_and(|(epoch, me)| epoch >= me.joined) {
-            self.keyring.acquaint(&word.from);
+            self.keyring.mark_aware(&word.from);
         }
     }
 
--- a/src/jobs/caller_service.rs
+++ b/src/jobs/caller_service.rs
@@ -6,7 +6,7 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use crate::decide::access::{AccessRefusal, CallerAccess, CallerMark, PresentedKey, admit};
+use crate::decide::access::{AccessRefusal, CallerAccess, OrganisationDigest, PresentedKey, admit};
 use crate::error::ResultCode;
 use crate::jobs::catch_up::CatchUpReader;
 use crate::jobs::model::{JobId, JobSpec, JobState, JobSubmission};
@@ -297,7 +297,7 @@
 /// The cancellation of a job that this entry does not know. Whose it is is not known either, nor whether callers belong
 /// to organisations by a newer configuration than this entry's: it counts only if the caller may see the job.
 fn tombstone(caller: &CallerAccess, job: JobId) -> JobRecord {
-    JobRecord::CancelledBy(job, CallerMark::of(caller.organisation.as_ref()))
+    JobRecord::CancelledBy(job, OrganisationDigest::of(caller.organisation.as_ref()))
 }
 
 fn outage() -> CallerReply {
--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -12,7 +12,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::decide::leadership::LeaderTrace;
+use crate::decide::leadership::PreviousLeader;
 use crate::jobs::decision_log;
 use crate::jobs::delegate::StartDelegate;
 use crate::jobs::follower::{TailReader, TailStep, fold_step, shown_ms};
@@ -83,7 +83,7 @@
     /// Its number.
     pub number: u64,
     /// The leader before, as last seen.
-    pub predecessor: Option<LeaderTrace>,
+    pub predecessor: Option<PreviousLeader>,
     /// When the append that it rests on was sent, in milliseconds.
     pub confirmed_ms: u64,
 }
@@ -185,7 +185,7 @@
         self: Arc<Self>,
         teller: WaveReporter<L>,
         delegate: StartDelegate,
-        predecessor: Option<LeaderTrace>,
+        predecessor: Option<PreviousLeader>,
     ) {
         // A try without an answer may have been done; a later one is then answered with the end that it had found.
         let raised_ms = self.node.now();
@@ -382,7 +382,7 @@
         if census.waiting > 0 {
             info!(self.node.logger, "starts wait to be sent"; "window" => census.window,
                 "under_way" => census.under_way, "waiting" => census.waiting,
-                "line_ms" => census.line_ms, "ended" => census.ended);
+                "line_ms" => census.queue_delay_ms, "ended" => census.ended);
         }
     }
 
@@ -502,8 +502,8 @@
     /// Commits what the scheduler has decided, one append at a time.
     async fn commit(self: Arc<Self>) {
         loop {
-            let room = self.parts.log.append_room();
-            self.node.metrics.append_room.set(i64::try_from(room).unwrap_or(i64::MAX));
+            let room = self.parts.log.append_limit();
+            self.node.metrics.append_limit.set(i64::try_from(room).unwrap_or(i64::MAX));
             let take = |scheduler: &mut Scheduler| scheduler.take_commit_within(room);
             let batch = self.node.with_scheduler(take).flatten();
             let Some(batch) = batch else {
@@ -516,7 +516,8 @@
                 return;
             }
             // Changes of a job share a record: on a choked link a third of what goes out are records.
-            let line = Duration::from_millis(self.lanes.flow().census(self.node.now()).line_ms);
+            let line =
+                Duration::from_millis(self.lanes.flow().census(self.node.now()).queue_delay_ms);
             sleep(COMMIT_GAP + line.min(COMMIT_GAP_MAX)).await;
         }
     }
@@ -562,7 +563,7 @@
         }
         info!(self.node.logger, "a commit waits for the log"; "bytes" => trace.bytes,
             "records" => batch.records.len(), "tries" => trace.tries, "age_ms" => age_ms,
-            "room" => self.parts.log.append_room());
+            "room" => self.parts.log.append_limit());
     }
 
     fn committed(&self, batch: &CommitBatch) {
--- a/src/jobs/confirm.rs
+++ b/src/jobs/confirm.rs
@@ -74,7 +74,7 @@
     let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
     let leader = if leads { Some(node.settings.peer) } else { node.leader() };
     let peers = match leads {
-        true => node.executors().some(PEERS_MAX, node.now()),
+        true => node.executors().sample(PEERS_MAX, node.now()),
         false => node.peers().iter().copied().take(PEERS_MAX).collect(),
     };
     let config = config.map(|config| (*config).clone());
--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -24,7 +24,7 @@
 
 use crate::control::ControlLoop;
 use crate::decide::executor::{BATCH_MAX, ExecutorOffer, ExecutorStamp};
-use crate::decide::replica::{OFFER_GAP_MS, offer_gap_ms};
+use crate::decide::replica::{OFFER_INTERVAL_MS, offer_interval_ms};
 use crate::jobs::metrics::count;
 use crate::jobs::model::TaskKey;
 use crate::jobs::node::JobNode;
@@ -148,7 +148,7 @@
             let mut executors = self.node.executors();
             let address = orders.first().and_then(|order| executors.pick(&order.centre, now));
             address.and_then(|address| {
-                let stamp = executors.begin(address, orders.len(), now)?;
+                let stamp = executors.begin_batch(address, orders.len(), now)?;
                 Some((address, stamp))
             })
         };
@@ -211,7 +211,7 @@
         Err(ExchangeFailure::NoAnswer) => None,
     };
     let is_well = answer.is_ok_and(|answer| answer.status == StatusCode::OK) && outcomes.is_some();
-    node.executors().end(address, orders.len(), is_well, node.now());
+    node.executors().end_batch(address, orders.len(), is_well, node.now());
     if !is_well {
         info!(node.logger, "an executor has not answered"; "executor" => %address,
             "starts" => orders.len(), "may_be_sent" => outcomes.is_none());
@@ -263,7 +263,7 @@
     body: &[u8],
 ) -> Option<Vec<DelegatedOutcome>> {
     let batch: StartBatch = postcard::from_bytes(body).ok()?;
-    let is_ours = batch.stamp.life == node.life;
+    let is_ours = batch.stamp.incarnation == node.incarnation;
     let is_late = node.now() > batch.stamp.sent_ms + STALE_MS;
     if !is_ours || is_late || node.is_stopping() {
         warn!(node.logger, "a batch of starts is not begun"; "starts" => batch.starts.len(),
@@ -354,8 +354,8 @@
         // log turns away learns by it whether the leader stores for it.
         let gap_ms = match (self.node.is_log_silent(), self.node.is_replica()) {
             (true, _) => SILENT_GAP_MS,
-            (false, true) => OFFER_GAP_MS,
-            (false, false) => offer_gap_ms(self.node.replicas().entries),
+            (false, true) => OFFER_INTERVAL_MS,
+            (false, false) => offer_interval_ms(self.node.replicas().entries),
         };
         let now = self.node.now();
         if self.offered_ms.is_some_and(|offered| now < offered + gap_ms) {
@@ -380,9 +380,9 @@
     let Ok(offer) = postcard::from_bytes::<ExecutorOffer>(body) else { return false };
     let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
     if leads {
-        node.planner().heard(&offer, node.now());
-        if offer.has_copy {
-            node.executors().heard(offer, node.now());
+        node.planner().record_offer(&offer, node.now());
+        if offer.has_replica {
+            node.executors().record_offer(offer, node.now());
         }
     }
     leads && !node.is_log_silent()
--- a/src/jobs/entry.rs
+++ b/src/jobs/entry.rs
@@ -108,8 +108,8 @@
             .map_err(|error| coded(ResultCode::BindFailed, error.to_string()))?;
         let metrics = Arc::new(JobMetrics::with_traffic(ports.transport.traffic().clone()));
         let node = Arc::new(JobNode::new(settings, metrics, logger));
-        let life = node.life;
-        info!(node.logger, "starting"; "callers" => %address, "life" => format!("{life:x}"),
+        let incarnation = node.incarnation;
+        info!(node.logger, "starting"; "callers" => %address, "life" => format!("{incarnation:x}"),
             "log" => %node.settings.log);
         let log = ports.leader.log.clone();
         let offers = ports.transport.clone();
@@ -117,7 +117,7 @@
         node.set_replicas(&ReplicaList::default(), false);
         let queries = QueryClient::new(ports.transport.clone());
         let relay = RelayClient::new(ports.transport);
-        let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), life);
+        let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), incarnation);
         let reader = Arc::new(CatchUpReader::new(node.clone(), log));
         let service = PeerService {
             node: node.clone(),
@@ -168,9 +168,9 @@
     }
 }
 
-fn holder(settings: &SiteSettings, life: u64) -> HolderId {
+fn holder(settings: &SiteSettings, incarnation: u64) -> HolderId {
     let delay_ms = claim_delay_ms(settings.processor, settings.link);
-    HolderId { name: settings.node.clone(), life, delay_ms }
+    HolderId { name: settings.node.clone(), incarnation, delay_ms }
 }
 
 async fn bind(address: SocketAddr) -> CodeResult<TcpListener> {
@@ -251,7 +251,7 @@
         SupervisedLoop::new(move || LeadershipLoop {
             node: leadership.0.clone(),
             parts: leadership.1.clone(),
-            own: holder(&leadership.0.settings, leadership.0.life),
+            own: holder(&leadership.0.settings, leadership.0.incarnation),
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
--- a/src/jobs/flow.rs
+++ b/src/jobs/flow.rs
@@ -32,7 +32,7 @@
     /// Commands that wait.
     pub waiting: usize,
     /// Time that answers wait in a line of ours, in milliseconds.
-    pub line_ms: u64,
+    pub queue_delay_ms: u64,
     /// Commands that ended in the last whole span of 400 ms.
     pub ended: u64,
 }
@@ -43,7 +43,7 @@
     /// Starts that may wait to be sent; none for any number.
     pub starts_max: Option<usize>,
     /// Time that answers wait in a line of ours, in milliseconds.
-    pub line_ms: u64,
+    pub queue_delay_ms: u64,
 }
 
 #[derive(Debug, Default)]
@@ -111,7 +111,7 @@
         let a_line = (state.rate * LINE_MS / RATE_MS).max(LINE_MIN);
         FlowPace {
             starts_max: is_full.then(|| usize::try_from(a_line).unwrap_or(usize::MAX)),
-            line_ms: state.window.line_ms(now),
+            queue_delay_ms: state.window.queue_delay_ms(now),
         }
     }
 
@@ -122,7 +122,7 @@
             window: state.window.size(),
             under_way: state.under_way,
             waiting: state.waiting,
-            line_ms: state.window.line_ms(now),
+            queue_delay_ms: state.window.queue_delay_ms(now),
             ended: state.rate,
         }
     }
@@ -135,7 +135,7 @@
         let mut state = self.state();
         let is_full = state.waiting > 0;
         let delay_us = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
-        state.window.ended(delay_us, is_answered, is_full, now);
+        state.window.record_end(delay_us, is_answered, is_full, now);
         if now >= state.span_ms + RATE_MS {
             state.rate = if now < state.span_ms + 2 * RATE_MS { state.counted } else { 0 };
             state.counted = 0;
--- a/src/jobs/job_table.rs
+++ b/src/jobs/job_table.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::decide::access::CallerMark;
+use crate::decide::access::OrganisationDigest;
 use crate::jobs::model::{JobId, JobState, JobSubmission};
 use crate::jobs::record::{JobProgress, JobRecord, LostVm};
 
@@ -18,7 +18,7 @@
     /// Whether a caller cancelled it that may.
     pub is_cancelled: bool,
     /// Callers that cancelled it before their entries knew it, and the offsets of that.
-    pub tombstones: BTreeMap<CallerMark, u64>,
+    pub tombstones: BTreeMap<OrganisationDigest, u64>,
     /// Newest progress.
     pub progress: Option<Arc<JobProgress>>,
     /// Since when this process knows that the job is over, in milliseconds.
--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -148,7 +148,7 @@
     /// No lane yet, and what hands starts to executors, to be run beside them.
     pub fn open(node: Arc<JobNode>, workers: W) -> (Arc<WorkerLanes<W>>, StartDelegate) {
         let (delegate, orders) = StartDelegate::open(node.clone());
-        let direct_bytes = Mutex::new(ByteBudget::open(node.settings.link / DIRECT_LINK_PART));
+        let direct_bytes = Mutex::new(ByteBudget::with_rate(node.settings.link / DIRECT_LINK_PART));
         let lanes = WorkerLanes {
             node,
             workers,
@@ -358,17 +358,17 @@
         let waited = Instant::now();
         loop {
             let now = self.node.now();
-            let (has_room, is_alone) = {
+            let (has_capacity, is_alone) = {
                 let executors = self.node.executors();
-                (executors.has_room(now), !executors.has_heard(now))
+                (executors.has_capacity(now), !executors.has_live_offers(now))
             };
-            if is_alone || !has_room && waited.elapsed() >= EXECUTOR_WAIT {
+            if is_alone || !has_capacity && waited.elapsed() >= EXECUTOR_WAIT {
                 return StartRoute::Direct(self.flow.enter(|| self.node.now()).await);
             }
-            let has_bytes = self.direct_bytes().has_room(now);
+            let has_bytes = self.direct_bytes().has_capacity(now);
             match self.flow.try_enter().filter(|_| has_bytes) {
                 Some(permit) => return StartRoute::Direct(permit),
-                None if has_room => return StartRoute::Delegated,
+                None if has_capacity => return StartRoute::Delegated,
                 None => sleep(EXECUTOR_LOOK).await,
             }
         }
--- a/src/jobs/leadership.rs
+++ b/src/jobs/leadership.rs
@@ -8,7 +8,7 @@
 
 use crate::control::ControlLoop;
 use crate::decide::leadership::{
-    HolderId, LeaderTrace, LeadershipAct, LeadershipRecord, LeadershipView, RENEWAL_MS,
+    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, PreviousLeader, RENEWAL_INTERVAL_MS,
 };
 use crate::decide::replica::ReplicaPlanner;
 use crate::jobs::conductor::{Conductor, ConductorParts, LeaderTerm};
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingClaim {
     /// The leader before.
-    pub predecessor: Option<LeaderTrace>,
+    pub predecessor: Option<PreviousLeader>,
 }
 
 impl<L, W, V, P> ControlLoop for LeadershipLoop<L, W, V, P>
@@ -115,7 +115,7 @@
         let (address, now) = (self.node.settings.peer, self.node.now());
         // An entry that has read nothing yet can't tell.
         let is_replica = self.conductor.is_some()
-            || self.view.has_contact() && self.view.keeps_copy(&self.own, address, now)
+            || self.view.has_contact() && self.view.is_replica(&self.own, address, now)
             || !self.view.has_contact() && self.node.is_replica();
         self.node.set_replicas(&self.view.replicas, is_replica);
         self.node.set_append_ms(self.view.append_ms, self.view.seen_ms);
@@ -133,14 +133,14 @@
                     self.fold(*offset, record, now);
                 }
                 self.node.set_leader(self.view.address);
-                self.view.reached(batch.next.max(self.view.end), now);
+                self.view.record_read(batch.next.max(self.view.end), now);
                 if batch.records.is_empty() {
                     self.is_in_doubt = false;
                 }
                 true
             }
             ReadOutcome::Expired { first } => {
-                self.view.missed(first, now);
+                self.view.skip_to(first, now);
                 true
             }
             ReadOutcome::Refused | ReadOutcome::Unknown => {
@@ -148,7 +148,7 @@
                     warn!(self.node.logger, "who leads can't be read"; "outcome" => ?outcome,
                         "took_ms" => now.saturating_sub(sent_ms));
                 }
-                self.view.lost_contact();
+                self.view.record_read_failure();
                 false
             }
         }
@@ -161,7 +161,7 @@
                     info!(self.node.logger, "leadership"; "act" => ?record.act,
                         "holder" => &*record.holder, "offset" => offset);
                 }
-                self.view.fold(offset, &record, now);
+                self.view.apply(offset, &record, now);
             }
             None => {
                 warn!(self.node.logger, "a leadership record can't be read"; "offset" => offset);
@@ -187,7 +187,7 @@
             append_ms,
             act,
             holder: self.own.name.clone(),
-            life: self.own.life,
+            incarnation: self.own.incarnation,
             address: self.node.settings.peer,
         }
     }
@@ -214,9 +214,9 @@
             AppendOutcome::Done { .. } => {
                 let now = self.node.now();
                 let record = self.record(LeadershipAct::Claim);
-                self.view.fold(self.view.end, &record, now);
+                self.view.apply(self.view.end, &record, now);
                 self.begin(predecessor, sent_ms);
-                Duration::from_millis(RENEWAL_MS)
+                Duration::from_millis(RENEWAL_INTERVAL_MS)
             }
             // Somebody was faster; what was appended tells who.
             AppendOutcome::EndMoved { .. } => {
@@ -233,7 +233,7 @@
                 FAILED_PAUSE
             }
             _ => {
-                self.view.lost_contact();
+                self.view.record_read_failure();
                 FAILED_PAUSE
             }
         }
@@ -248,9 +248,9 @@
         let sent_ms = self.node.now();
         match self.append(LeadershipAct::Renew).await {
             AppendOutcome::Done { end, .. } => {
-                self.view.renewed(end, self.node.now());
+                self.view.record_renewal(end, self.node.now());
                 self.begin(pending.predecessor, sent_ms);
-                Duration::from_millis(RENEWAL_MS)
+                Duration::from_millis(RENEWAL_INTERVAL_MS)
             }
             AppendOutcome::EndMoved { .. } | AppendOutcome::Unknown => {
                 match self.read(Duration::ZERO).await {
@@ -263,11 +263,11 @@
     }
 
     /// Begins to lead, by an append that was sent at `sent_ms`.
-    fn begin(&mut self, predecessor: Option<LeaderTrace>, sent_ms: u64) {
+    fn begin(&mut self, predecessor: Option<PreviousLeader>, sent_ms: u64) {
         self.pending = None;
         self.is_in_doubt = false;
         self.node.set_leader(None);
-        *self.node.planner() = ReplicaPlanner::open(self.view.replicas.clone(), self.node.now());
+        *self.node.planner() = ReplicaPlanner::resume(self.view.replicas.clone(), self.node.now());
         info!(self.node.logger, "leading"; "term" => self.view.term);
         self.node.metrics.takeovers.inc();
         let (node, parts) = (self.node.clone(), self.parts.clone());
@@ -300,16 +300,16 @@
         }
         match outcome {
             AppendOutcome::Done { end, .. } => {
-                self.view.renewed(end, self.node.now());
+                self.view.record_renewal(end, self.node.now());
                 self.view.replicas = self.node.planner().list().clone();
                 self.note_replicas();
                 self.confirm(sent_ms);
                 let spent = self.node.now().saturating_sub(sent_ms);
-                Duration::from_millis(RENEWAL_MS.saturating_sub(spent))
+                Duration::from_millis(RENEWAL_INTERVAL_MS.saturating_sub(spent))
             }
             AppendOutcome::EndMoved { .. } => self.resolve().await,
             AppendOutcome::Unknown => {
-                self.view.unanswered(sent_ms);
+                self.view.record_unanswered(sent_ms);
                 self.resolve().await
             }
             _ => FAILED_PAUSE,
@@ -327,7 +327,7 @@
             return Duration::ZERO;
         }
         if self.view.end > end
-            && let Some(sent_ms) = self.view.found()
+            && let Some(sent_ms) = self.view.take_unanswered()
         {
             self.confirm(sent_ms);
         }
--- a/src/jobs/metrics.rs
+++ b/src/jobs/metrics.rs
@@ -91,7 +91,7 @@
     /// Time of an append to the log, in seconds.
     pub append_seconds: Histogram,
     /// Bytes from which the next commit takes no more, where this entry leads.
-    pub append_room: Gauge,
+    pub append_limit: Gauge,
     /// Appends of commits that were repeated.
     pub append_repeats: Counter,
     /// Times that this entry began to lead.
@@ -149,7 +149,7 @@
             executors: Gauge::default(),
             vm_calls: Family::default(),
             append_seconds: seconds(),
-            append_room: Gauge::default(),
+            append_limit: Gauge::default(),
             append_repeats: Counter::default(),
             takeovers: Counter::default(),
             leading: Gauge::default(),
@@ -237,7 +237,7 @@
         let help = "time of an append to the log, in seconds";
         registry.register("append_seconds", help, self.append_seconds.clone());
         let help = "bytes from which the next commit takes no more, at the leader";
-        registry.register("append_room", help, self.append_room.clone());
+        registry.register("append_room", help, self.append_limit.clone());
         let help = "appends of commits that were repeated";
         registry.register("append_repeats", help, self.append_repeats.clone());
         registry.register("takeovers", "times this entry began to lead", self.takeovers.clone());
--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -53,7 +53,7 @@
     /// Wakes the leader's loop.
     pub wake: Notify,
     /// Drawn at the start of the process.
-    pub life: u64,
+    pub incarnation: u64,
     executors: Mutex<ExecutorTable>,
     planner: Mutex<ReplicaPlanner>,
     replicas: ArcSwap<ReplicaList>,
@@ -99,7 +99,7 @@
             metrics,
             logger,
             wake: Notify::new(),
-            life: rand::random(),
+            incarnation: rand::random(),
             executors: Mutex::default(),
             planner: Mutex::default(),
             replicas: ArcSwap::default(),
@@ -176,7 +176,7 @@
     pub fn honoured_config(&self) -> Option<Arc<SiteConfig>> {
         let shown = self.shown_ms();
         let rule = &self.settings.bounds.revocation;
-        if !rule.honours(shown, self.now()) {
+        if !rule.may_honour(shown, self.now()) {
             return None;
         }
         self.config()
@@ -208,7 +208,7 @@
         let own = ExecutorOffer { claim_delay_ms: 0, ..self.offer() };
         let now = self.now();
         let mut planner = self.planner();
-        planner.heard(&own, now);
+        planner.record_offer(&own, now);
         planner.plan(now).clone()
     }
 
@@ -217,12 +217,12 @@
         let settings = &self.settings;
         ExecutorOffer {
             address: settings.peer,
-            life: self.life,
+            incarnation: self.incarnation,
             centre: settings.centre.clone(),
             processor: settings.processor,
             clock_ms: self.now(),
             claim_delay_ms: claim_delay_ms(settings.processor, settings.link),
-            has_copy: self.has_copy() && !self.is_log_silent(),
+            has_replica: self.has_replica() && !self.is_log_silent(),
         }
     }
 
@@ -247,7 +247,7 @@
     }
 
     /// Whether its copy is whole, if not always up to date.
-    pub fn has_copy(&self) -> bool {
+    pub fn has_replica(&self) -> bool {
         self.is_replica() && self.is_loaded.load(Ordering::Acquire)
     }
 
@@ -602,7 +602,7 @@
         metrics.log_age_ms.set(self.log_age_ms().map_or(-1, gauge));
         metrics.config_version.set(self.config().map_or(0, |config| gauge(config.version)));
         let census = self.with_scheduler(|scheduler| scheduler.stats());
-        metrics.replica.set(i64::from(self.has_copy()));
+        metrics.replica.set(i64::from(self.has_replica()));
         metrics.leading.set(i64::from(census.is_some()));
         let census = census.unwrap_or_default();
         metrics.open_jobs.set(size(census.jobs));
@@ -611,7 +611,7 @@
         let view_age_ms = self.with_scheduler(|scheduler| scheduler.view_age_ms(now));
         metrics.view_age_ms.set(view_age_ms.map_or(-1, gauge));
         metrics.silent_workers.set(size(census.silent));
-        metrics.executors.set(size(self.executors().census(self.now()).0));
+        metrics.executors.set(size(self.executors().counts(self.now()).0));
         metrics.config_age_ms.set(self.config_age_ms().map_or(-1, gauge));
         let organisations = self.with_scheduler(|scheduler| scheduler.organisation_overviews());
         let organisations = organisations.unwrap_or_default();
--- a/src/jobs/ports.rs
+++ b/src/jobs/ports.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::append_room::ROOM_MAX;
+use crate::decide::append_limit::APPEND_BYTES_MAX;
 use crate::jobs::model::{ExitKind, StepKey, TaskKey};
 use crate::jobs::record::KeyedRecord;
 use crate::jobs::site::VmEntry;
@@ -126,8 +126,8 @@
     ) -> impl Future<Output = AppendOutcome> + Send;
 
     /// Bytes from which the next append should take no more records.
-    fn append_room(&self) -> usize {
-        ROOM_MAX
+    fn append_limit(&self) -> usize {
+        APPEND_BYTES_MAX
     }
 
     /// Reads from an offset; waits for a record up to `wait`.
--- a/src/jobs/query.rs
+++ b/src/jobs/query.rs
@@ -69,7 +69,7 @@
     body: &[u8],
 ) -> Result<JobAnswer, StatusCode> {
     let question = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    if !node.has_copy() {
+    if !node.has_replica() {
         return Err(StatusCode::MISDIRECTED_REQUEST);
     }
     match question {
@@ -135,7 +135,7 @@
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         let mut passed_over = self.passed_over();
         passed_over.retain(|_, until_ms| now < *until_ms);
-        let mut order = node.replicas().order(&node.settings.centre, turn);
+        let mut order = node.replicas().query_order(&node.settings.centre, turn);
         order.retain(|address| *address != own);
         order.sort_by_key(|address| passed_over.contains_key(address));
         order
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::access::CallerMark;
+use crate::decide::access::OrganisationDigest;
 use crate::jobs::model::{JobId, JobState, JobSubmission, TaskKey};
 
 /// What one record of the job log says.
@@ -23,13 +23,13 @@
     /// A caller cancelled it.
     Cancelled(JobId),
     /// A caller cancelled it before its entry knew it; counts if that caller may see it.
-    CancelledBy(JobId, CallerMark),
+    CancelledBy(JobId, OrganisationDigest),
     /// How far it is.
     Progress(JobId, Arc<JobProgress>),
     /// One of its keys was dropped; the job is over for long.
     Dropped(JobId),
     /// Such a cancellation was dropped.
-    TombstoneDropped(JobId, CallerMark),
+    TombstoneDropped(JobId, OrganisationDigest),
     /// VMs of a maintenance wave that have been maintained, by the number of the wave.
     Wave(u64, Arc<BTreeSet<Arc<str>>>),
     /// VMs of a pool that have lost their workers lately by what no task is likely to have caused, the latest last.
@@ -177,7 +177,7 @@
     }
 
     /// The record that drops a cancellation by an entry that did not know the job.
-    pub fn drop_tombstone(job: JobId, mark: CallerMark) -> KeyedRecord {
+    pub fn drop_tombstone(job: JobId, mark: OrganisationDigest) -> KeyedRecord {
         KeyedRecord { key: tombstone_key(job, mark), value: Vec::new() }
     }
 
@@ -202,7 +202,7 @@
         }
         if let Some((job, mark)) = key.strip_prefix(CANCELLED).and_then(|key| key.split_once(MARK))
         {
-            let (job, mark) = (JobId::parse(job)?, CallerMark::parse(mark)?);
+            let (job, mark) = (JobId::parse(job)?, OrganisationDigest::parse(mark)?);
             return Some(match value.is_empty() {
                 true => JobRecord::TombstoneDropped(job, mark),
                 false => JobRecord::CancelledBy(job, mark),
@@ -223,7 +223,7 @@
     }
 }
 
-fn tombstone_key(job: JobId, mark: CallerMark) -> String {
+fn tombstone_key(job: JobId, mark: OrganisationDigest) -> String {
     format!("{CANCELLED}{job}{MARK}{mark}")
 }
 
--- a/src/jobs/relay.rs
+++ b/src/jobs/relay.rs
@@ -27,7 +27,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use crate::decide::append_room::CarryTime;
+use crate::decide::append_limit::SendTimeout;
 use crate::jobs::catch_up::CatchUpReader;
 use crate::jobs::confirm::{self, CONFIRM_PATH, QUERY_BYTES_MAX};
 use crate::jobs::delegate::{self, OFFER_PATH, STARTS_BYTES_MAX, STARTS_PATH};
@@ -191,7 +191,7 @@
         };
         let (taken, stored) = (TAKEN_PATIENCE, STORE_PATIENCE);
         let exchange =
-            self.transport.exchange_sending(leader, call, taken, stored, CarryTime::default());
+            self.transport.exchange_sending(leader, call, taken, stored, SendTimeout::default());
         let answer = tokio::select! {
             (answer, _) = exchange => answer,
             () = succeeded(node, leader) => Err(ExchangeFailure::NoAnswer),
--- a/src/jobs/site.rs
+++ b/src/jobs/site.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::access::{AccessBook, RevocationRule};
+use crate::decide::access::{AccessTable, RevocationRule};
 use crate::jobs::model::ResourceVector;
 
 /// Placement policy of a queue that asks for permits.
@@ -88,7 +88,7 @@
     /// Bounds for callers' requests.
     pub limits: CallerLimits,
     /// Organisations and their keys; none where the site knows no organisations, and callers need no key.
-    pub access: Option<AccessBook>,
+    pub access: Option<AccessTable>,
 }
 
 impl SiteConfig {
--- a/src/jobs/submitter.rs
+++ b/src/jobs/submitter.rs
@@ -96,10 +96,15 @@
 }
 
 /// Starts the submitter's task.
-pub fn spawn<L: JobLog>(node: Arc<JobNode>, log: L, relay: RelayClient, life: u64) -> SubmitHandle {
+pub fn spawn<L: JobLog>(
+    node: Arc<JobNode>,
+    log: L,
+    relay: RelayClient,
+    incarnation: u64,
+) -> SubmitHandle {
     let (sender, requests) = mpsc::channel(QUEUE_MAX);
     // A restarted process has forgotten its numbers: it is another writer.
-    let writer = format!("{}-{life:x}", node.settings.node).into();
+    let writer = format!("{}-{incarnation:x}", node.settings.node).into();
     let patience = TimeoutEstimator::new(APPEND_PATIENCE);
     let submitter =
         Submitter { node, log, requests, relay, writer, epoch: 1, sequence: 0, patience };
@@ -112,7 +117,7 @@
         while let Some(first) = self.requests.recv().await {
             let mut bytes = first.keyed.value.len();
             let mut batch = vec![first];
-            let room = self.log.append_room().min(BATCH_BYTES_MAX);
+            let room = self.log.append_limit().min(BATCH_BYTES_MAX);
             while batch.len() < BATCH_MAX && bytes < room {
                 let Ok(next) = self.requests.try_recv() else { break };
                 bytes += next.keyed.value.len();
--- a/src/keyring.rs
+++ b/src/keyring.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::ProcessClock;
 use crate::decide::fleet::FleetState;
-use crate::decide::key::{KeyLimits, KeyOutcome, KeyStep, KeyTable, RequestKey};
-use crate::decide::roster::{HandedOver, KeyRight, LeaseTimes, OwnerBook, owner};
+use crate::decide::key::{KeyDecision, KeyLimits, KeyOutcome, KeyTable, RequestKey};
+use crate::decide::roster::{HandOverNotice, KeyOwnership, KeyRight, LeaseTimes, owner};
 use crate::error::ResultCode;
 use crate::membership::EntryMembership;
 use crate::metrics::EntryMetrics;
@@ -20,7 +20,7 @@
 
 #[derive(Debug)]
 struct KeyringState {
-    book: OwnerBook,
+    book: KeyOwnership,
     table: KeyTable,
     /// Roster epoch at which each peer last got all that it owns.
     handed: Vec<(EntryName, u64)>,
@@ -46,7 +46,7 @@
         limits: KeyLimits,
         metrics: Arc<EntryMetrics>,
     ) -> Self {
-        let book = OwnerBook::new(membership.name().as_ref().clone(), times);
+        let book = KeyOwnership::new(membership.name().as_ref().clone(), times);
         let state =
             KeyringState { book, table: KeyTable::new(limits), handed: Vec::new(), closed: false };
         let clock = membership.clock();
@@ -56,7 +56,7 @@
     /// Starts anew under a new name.
     pub fn reset(&self) {
         let mut state = self.lock();
-        state.book = OwnerBook::new(self.membership.name().as_ref().clone(), self.times);
+        state.book = KeyOwnership::new(self.membership.name().as_ref().clone(), self.times);
         state.table = KeyTable::new(self.limits);
         state.handed.clear();
     }
@@ -73,15 +73,15 @@
     }
 
     /// Notes that a peer has shown that it knows us.
-    pub fn acquaint(&self, peer: &EntryName) {
-        self.lock().book.acquaint(peer);
+    pub fn mark_aware(&self, peer: &EntryName) {
+        self.lock().book.mark_aware(peer);
     }
 
     /// Decides on a request with a key.
-    pub fn begin(&self, key: &RequestKey, fingerprint: u64) -> KeyStep {
+    pub fn begin(&self, key: &RequestKey, fingerprint: u64) -> KeyDecision {
         let mut state = self.lock();
         if state.closed {
-            return KeyStep::Answer(ResultCode::ShuttingDown);
+            return KeyDecision::Answer(ResultCode::ShuttingDown);
         }
         let right = self.right(&state, &key.id);
         let step = state.table.begin(key, fingerprint, right, self.clock.wall_ms());
@@ -117,7 +117,7 @@
         if !handed.complete {
             return;
         }
-        state.book.handed_over(&HandedOver {
+        state.book.record_hand_over(&HandOverNotice {
             from: &handed.from,
             floor_ms: handed.floor_ms,
             retired: &handed.retired,
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -12,7 +12,7 @@
 
 use crate::clock::{ProcessClock, millis, system_ms};
 use crate::decide::fleet::AUTONOMY_MS;
-use crate::decide::lease::PlaceLease;
+use crate::decide::lease::RosterLease;
 use crate::decide::roster::{LeaseTimes, Moment};
 use crate::name::EntryName;
 
@@ -21,7 +21,7 @@
     joined: bool,
     evicted: bool,
     caught_up: bool,
-    lease: PlaceLease,
+    lease: RosterLease,
 }
 
 /// This entry's place in its data centre.
@@ -126,7 +126,7 @@
     pub fn may_route(&self) -> bool {
         let state = self.lock();
         let autonomy = Duration::from_millis(AUTONOMY_MS);
-        state.joined && state.lease.was_heard(autonomy, self.moment(Duration::ZERO))
+        state.joined && state.lease.has_contact_within(autonomy, self.moment(Duration::ZERO))
     }
 
     /// The process's clock.
--- a/src/publisher.rs
+++ b/src/publisher.rs
@@ -11,7 +11,7 @@
 use uuid::Uuid;
 
 use crate::clock::system_ms;
-use crate::decide::intent::{IntentBody, IntentRecord, IntentState, IntentVerdict};
+use crate::decide::intent::{IntentBody, IntentRecord, IntentState, PublishOutcome};
 use crate::document::IntentDocument;
 use crate::error::{CodeResult, ResultCode, coded};
 use crate::platform::{INTENT_STREAM, LogClient, LogRecord, ReadAnswer};
@@ -81,7 +81,7 @@
         base: Option<u64>,
         by: &str,
         patience: Duration,
-    ) -> CodeResult<IntentVerdict> {
+    ) -> CodeResult<PublishOutcome> {
         let record = IntentRecord {
             id: Uuid::now_v7(),
             at_ms: system_ms(),
@@ -97,7 +97,7 @@
                 appended = self.log.append(INTENT_STREAM, &body).await.is_ok();
             }
             let read = self.read(READ_WAIT).await;
-            if let Some(verdict) = self.state.verdict(&record.id) {
+            if let Some(verdict) = self.state.outcome(&record.id) {
                 return Ok(verdict);
             }
             if started.elapsed() >= patience {
--- a/src/router.rs
+++ b/src/router.rs
@@ -18,10 +18,9 @@
 use crate::connection::{ExchangeTerms, WholeAnswer};
 use crate::decide::estimate::{RunEstimate, queue_wait};
 use crate::decide::fleet::VmPhase;
-use crate::decide::key::{KeyStep, RequestKey};
+use crate::decide::key::{KeyDecision, RequestKey};
 use crate::decide::retry::{
-    AttemptOutcome, NotRunReason, RetryBudget, RetryState, UnknownReason, may_go_elsewhere,
-    may_run_again,
+    AttemptOutcome, NotRunReason, RetryBudget, RetryState, UnknownReason, may_retry, may_run_again,
 };
 use crate::decide::roster::{home, owner};
 use crate::decide::slot::SlotPolicy;
@@ -184,10 +183,10 @@
         key: RequestKey,
     ) -> CallerAnswer {
         match self.keyring.begin(&key, request.fingerprint()) {
-            KeyStep::Run => {}
-            KeyStep::Replay(kept) => return CallerAnswer::replayed(kept),
-            KeyStep::Answer(code) => return CallerAnswer::coded(code, Some(COME_BACK)),
-            KeyStep::Forward => return refuse(ResultCode::KeyOwnerStale, COME_BACK),
+            KeyDecision::Run => {}
+            KeyDecision::Replay(kept) => return CallerAnswer::replayed(kept),
+            KeyDecision::Answer(code) => return CallerAnswer::coded(code, Some(COME_BACK)),
+            KeyDecision::Forward => return refuse(ResultCode::KeyOwnerStale, COME_BACK),
         }
         // The caller may go away; the outcome must be noted all the same.
         let (router, table) = (self.clone(), table.clone());
@@ -219,7 +218,7 @@
         if let Some(refusal) = self.admit(&routed) {
             return refusal;
         }
-        self.budget().earn();
+        self.budget().deposit();
         self.attempts(&routed).await
     }
 
@@ -250,7 +249,7 @@
             0 => Duration::ZERO,
             ahead => queue_wait(ahead + 1, routed.service.gate.room(), typical),
         };
-        let run = if ahead == 0 { typical } else { estimate.slow().unwrap_or_default() };
+        let run = if ahead == 0 { typical } else { estimate.upper_bound().unwrap_or_default() };
         if wait + run <= left {
             return None;
         }
@@ -320,7 +319,7 @@
 
     /// Time after which nearly all runs have shown progress.
     fn stall_time(&self, routed: &RoutedRequest<'_, P>) -> Duration {
-        let slow = routed.estimate().slow().unwrap_or(Duration::MAX);
+        let slow = routed.estimate().upper_bound().unwrap_or(Duration::MAX);
         slow.saturating_mul(2).max(self.limits.stall_floor)
     }
 
@@ -456,7 +455,7 @@
         if reason == NotRunReason::Connect {
             routed.service.gate.note(permit.target(), false);
         }
-        if may_go_elsewhere(state) {
+        if may_retry(state) {
             return NextStep::Again(reason.name());
         }
         NextStep::Answer(refuse(ResultCode::AllRefused, routed.come_back()))
@@ -476,7 +475,7 @@
     fn may_run_again(&self, state: &RetryState) -> bool {
         let mut budget = self.budget();
         let again = may_run_again(state, &mut budget);
-        if !again && state.idempotent && may_go_elsewhere(state) {
+        if !again && state.idempotent && may_retry(state) {
             self.metrics.retries_denied.inc();
         }
         again
@@ -567,7 +566,7 @@
     }
 
     fn learn(&self, run: Duration) {
-        self.lock_estimate().note(run);
+        self.lock_estimate().record(run);
     }
 
     fn lock_estimate(&self) -> std::sync::MutexGuard<'_, RunEstimate> {
@@ -576,7 +575,7 @@
     }
 
     fn come_back(&self) -> Duration {
-        self.estimate().slow().unwrap_or(COME_BACK).max(Duration::from_millis(1))
+        self.estimate().upper_bound().unwrap_or(COME_BACK).max(Duration::from_millis(1))
     }
 }
 
@@ -599,7 +598,9 @@
 fn is_workers_fault(reason: UnknownReason, started: Instant, estimate: &RunEstimate) -> bool {
     match reason {
         UnknownReason::Lost | UnknownReason::Stalled | UnknownReason::Cut => true,
-        UnknownReason::Deadline => estimate.slow().is_some_and(|slow| started.elapsed() > slow),
+        UnknownReason::Deadline => {
+            estimate.upper_bound().is_some_and(|slow| started.elapsed() > slow)
+        }
     }
 }
 
--- a/src/scheduler/commit.rs
+++ b/src/scheduler/commit.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use crate::decide::access::CallerMark;
-use crate::decide::append_room::ROOM_MAX;
+use crate::decide::access::OrganisationDigest;
+use crate::decide::append_limit::APPEND_BYTES_MAX;
 use crate::jobs::model::{JobId, JobSubmission, TaskKey};
 use crate::jobs::record::{JobRecord, KeyedRecord, LostVm};
 use crate::scheduler::job::RunPhase;
@@ -96,7 +96,7 @@
     /// Exits that wait for the changes before a place.
     held_exits: VecDeque<(u64, BTreeMap<Arc<str>, u64>)>,
     drops: Vec<JobId>,
-    tombstone_drops: Vec<(JobId, CallerMark)>,
+    tombstone_drops: Vec<(JobId, OrganisationDigest)>,
     /// Jobs that are over and quiet, without their specs.
     over: VecDeque<(JobId, Arc<JobSubmission>)>,
     waves: BTreeMap<u64, BTreeSet<Arc<str>>>,
@@ -137,12 +137,12 @@
     }
 
     /// The same for a cancellation by an entry that did not know the job.
-    pub fn cancel_tombstone_drop(&mut self, job: JobId, mark: CallerMark) {
+    pub fn cancel_tombstone_drop(&mut self, job: JobId, mark: OrganisationDigest) {
         self.tombstone_drops.retain(|dropped| *dropped != (job, mark));
     }
 
     /// A cancellation by an entry that did not know the job need not be kept.
-    pub fn drop_tombstone(&mut self, job: JobId, mark: CallerMark) {
+    pub fn drop_tombstone(&mut self, job: JobId, mark: OrganisationDigest) {
         self.tombstone_drops.push((job, mark));
     }
 
@@ -188,7 +188,7 @@
 
     /// The next append, of any size that the log takes.
     pub fn take_commit(&mut self) -> Option<CommitBatch> {
-        self.take_commit_within(ROOM_MAX)
+        self.take_commit_within(APPEND_BYTES_MAX)
     }
 
     /// The next append, of `room` bytes and a record; nothing if the log has everything. The caller appends
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -44,7 +44,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::decide::leadership::{LeaderTrace, PredecessorEnd};
+use crate::decide::leadership::{PredecessorEnd, PreviousLeader};
 use crate::jobs::flow::FlowPace;
 use crate::jobs::job_table::{JobTable, LoggedJob};
 use crate::jobs::model::{JobId, JobState, JobSubmission, StepKey, TaskKey};
@@ -101,7 +101,7 @@
     /// Configuration in force.
     pub config: Arc<SiteConfig>,
     /// The leader before, as last seen.
-    pub predecessor: Option<LeaderTrace>,
+    pub predecessor: Option<PreviousLeader>,
     /// When the newest confirmation of this leadership was sent, in milliseconds.
     pub confirmed_ms: u64,
     /// When the job log held no more than the book has, in milliseconds.
@@ -115,7 +115,7 @@
 }
 
 /// When the last command of a leader to a VM has been carried out or never will, in milliseconds.
-fn predecessor_vm_bound_ms(leader: LeaderTrace) -> u64 {
+fn predecessor_vm_bound_ms(leader: PreviousLeader) -> u64 {
     match leader.end {
         PredecessorEnd::Unknown => leader.seen_ms + VM_COMMAND_LIFETIME_MS,
         PredecessorEnd::Resigned => 0,
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -126,13 +126,13 @@
     /// Wait for an exit that is asked for. Renewals without news are what a choked link can best do
     /// without: a hundred workers' take half of 2 Mbit/s at the shortest wait.
     fn renew_wait(&self) -> Duration {
-        let line = Duration::from_millis(self.pace.line_ms);
+        let line = Duration::from_millis(self.pace.queue_delay_ms);
         (RENEW_WAIT + line * RENEW_STRETCH).min(RENEW_WAIT_MAX)
     }
 
     /// Time for an answer beyond that wait: what stands in line with it is not the worker's silence.
     fn renew_patience(&self) -> Duration {
-        let line = Duration::from_millis(self.pace.line_ms);
+        let line = Duration::from_millis(self.pace.queue_delay_ms);
         (RENEW_PATIENCE + line * 2).min(RENEW_PATIENCE_MAX)
     }
 
@@ -218,7 +218,7 @@
         let gap_ms = match was_fenced && !was_silent {
             true if worker.has_withheld_exit() => WITHHELD_GAP_MS,
             // More exits then share a report, and a report is the larger part of what comes in.
-            true => RENEW_GAP_MS + self.pace.line_ms.min(LINE_GAP_MAX_MS),
+            true => RENEW_GAP_MS + self.pace.queue_delay_ms.min(LINE_GAP_MAX_MS),
             false => 0,
         };
         worker.next_renewal_ms = now + if has_more { gap_ms } else { 0 };
--- a/src/scheduler/tombstones.rs
+++ b/src/scheduler/tombstones.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::decide::access::CallerMark;
+use crate::decide::access::OrganisationDigest;
 use crate::jobs::model::JobId;
 use crate::scheduler::{RecordSource, Scheduler, SchedulerEvent};
 
@@ -18,24 +18,25 @@
 /// Such cancellations, and when each was last heard of, in milliseconds.
 #[derive(Debug, Default)]
 pub(crate) struct TombstoneTable {
-    marks: BTreeMap<(JobId, CallerMark), u64>,
+    marks: BTreeMap<(JobId, OrganisationDigest), u64>,
 }
 
 impl TombstoneTable {
     /// Takes one in.
-    pub fn insert(&mut self, job: JobId, mark: CallerMark, now: u64) {
+    pub fn insert(&mut self, job: JobId, mark: OrganisationDigest, now: u64) {
         self.marks.insert((job, mark), now);
     }
 
     /// Whether a job of this organisation was cancelled.
     pub fn covers(&self, job: JobId, organisation: Option<&Arc<str>>) -> bool {
-        let mut marks = self.marks.range((job, CallerMark::FIRST)..=(job, CallerMark::LAST));
+        let mut marks =
+            self.marks.range((job, OrganisationDigest::FIRST)..=(job, OrganisationDigest::LAST));
         marks.any(|((_, mark), _)| mark.may_see(organisation))
     }
 
     /// Takes out those that nothing needs any more.
-    fn take(&mut self, is_old: impl Fn(JobId, u64) -> bool) -> Vec<(JobId, CallerMark)> {
-        let is_old = |(job, _): &(JobId, CallerMark), heard: &mut u64| is_old(*job, *heard);
+    fn take(&mut self, is_old: impl Fn(JobId, u64) -> bool) -> Vec<(JobId, OrganisationDigest)> {
+        let is_old = |(job, _): &(JobId, OrganisationDigest), heard: &mut u64| is_old(*job, *heard);
         self.marks.extract_if(.., is_old).map(|(key, _)| key).collect()
     }
 }
@@ -45,7 +46,7 @@
     pub(super) fn cancel_by(
         &mut self,
         id: JobId,
-        mark: CallerMark,
+        mark: OrganisationDigest,
         source: RecordSource,
         now: u64,
     ) {
--- a/src/steward.rs
+++ b/src/steward.rs
@@ -19,7 +19,7 @@
 use crate::decide::intent::{IntentBody, IntentRecord};
 use crate::decide::slot::SlotPolicy;
 use crate::decide::wave::{
-    DAY_MS, PlanInput, PlanTimes, ProbeView, plan, product_loads, shortfall,
+    DAY_MS, PlanInput, PlanTimes, ProbeView, plan, product_workers, shortfall,
 };
 use crate::error::explain;
 use crate::gossip::GossipBook;
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ProbeNote {
     boot: u64,
-    answers: bool,
+    is_answering: bool,
     answered: Instant,
     asked: Instant,
 }
@@ -255,12 +255,12 @@
             let known = self.memory.probes.get(&vm);
             let note = match report {
                 Some(report) => {
-                    let answers = !report.leaving;
-                    ProbeNote { boot: report.boot, answers, answered: now, asked: now }
+                    let is_answering = !report.leaving;
+                    ProbeNote { boot: report.boot, is_answering, answered: now, asked: now }
                 }
                 None => ProbeNote {
                     boot: known.map_or(0, |note| note.boot),
-                    answers: false,
+                    is_answering: false,
                     answered: known.map_or(now, |note| note.answered),
                     asked: now,
                 },
@@ -271,8 +271,8 @@
 
     fn probe_views(&self) -> BTreeMap<VmName, ProbeView> {
         let views = self.memory.probes.iter().map(|(vm, note)| {
-            let silent_ms = if note.answers { 0 } else { millis(note.answered.elapsed()) };
-            (vm.clone(), ProbeView { boot: note.boot, answers: note.answers, silent_ms })
+            let silent_ms = if note.is_answering { 0 } else { millis(note.answered.elapsed()) };
+            (vm.clone(), ProbeView { boot: note.boot, is_answering: note.is_answering, silent_ms })
         });
         views.collect()
     }
@@ -283,7 +283,7 @@
         let Some(document) = view.document() else { return Vec::new() };
         let day = self.membership.clock().wall_ms() / DAY_MS;
         let mut acts = Vec::new();
-        let loads = product_loads(document, &view.fleets);
+        let loads = product_workers(document, &view.fleets);
         for product in &document.products {
             let load = loads.get(&product.name).copied().unwrap_or_default();
             let short = shortfall(document, &load, product);
@@ -308,7 +308,7 @@
         let out = |centre: &CentreName| {
             let fleet = view.fleets.get(centre).map(|fleet| (centre.clone(), fleet.clone()));
             let one: BTreeMap<_, _> = fleet.into_iter().collect();
-            let loads = product_loads(document, &one);
+            let loads = product_workers(document, &one);
             loads.get(product).is_some_and(|load| load.planned + load.lost > 0)
         };
         let mut centres = document.data_centres.iter().map(|centre| &centre.name);
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -25,7 +25,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::decide::append_room::{CarryTime, SentBody};
+use crate::decide::append_limit::{SendTimeout, SentBody};
 use crate::progress::{SendProgress, WatchedStream};
 use crate::traffic::TrafficMeter;
 
@@ -111,7 +111,7 @@
     /// All of it.
     Whole,
     /// Not the time in which its body goes out: a large one takes as long as the link needs.
-    Unsent(CarryTime),
+    Unsent(SendTimeout),
 }
 
 /// How long the body of an answer may take.
@@ -206,7 +206,7 @@
         call: HttpCall,
         head: Duration,
         whole: Duration,
-        carry: CarryTime,
+        carry: SendTimeout,
     ) -> (Result<HttpAnswer, ExchangeFailure>, SentBody) {
         let body = BodyLimit::Whole(whole);
         self.carry(address, call, head, RequestLimit::Unsent(carry), body, || true).await
@@ -257,9 +257,9 @@
         let spared = || match request {
             RequestLimit::Whole => Duration::ZERO,
             RequestLimit::Unsent(carry) if progress.bytes() >= sent => {
-                progress.span() + carry.whole
+                progress.span() + carry.after_send
             }
-            RequestLimit::Unsent(carry) => progress.span() + carry.part,
+            RequestLimit::Unsent(carry) => progress.span() + carry.stall,
         };
         let answered = async {
             let sending = send(&mut connection.sender, address, call);
--- a/src/view.rs
+++ b/src/view.rs
@@ -17,7 +17,7 @@
 use crate::connection::{ConnectionLimits, ConnectionPool};
 use crate::decide::estimate::RunEstimate;
 use crate::decide::fleet::{
-    ENTRY_LANES, FleetBody, FleetRecord, FleetState, FleetVerdict, StewardAct,
+    ENTRY_LANES, FleetBody, FleetOutcome, FleetRecord, FleetState, StewardAct,
 };
 use crate::decide::intent::{IntentBody, IntentRecord, IntentState};
 use crate::decide::slot::SlotPolicy;
@@ -485,11 +485,11 @@
     stream.strip_prefix("fleet.").map(CentreName::from)
 }
 
-fn verdict_name(verdict: FleetVerdict) -> &'static str {
+fn verdict_name(verdict: FleetOutcome) -> &'static str {
     match verdict {
-        FleetVerdict::Accepted => "accepted",
-        FleetVerdict::Seen => "seen",
-        FleetVerdict::StaleTerm => "stale_term",
-        FleetVerdict::Refused => "refused",
+        FleetOutcome::Accepted => "accepted",
+        FleetOutcome::AlreadyApplied => "seen",
+        FleetOutcome::StaleTerm => "stale_term",
+        FleetOutcome::Refused => "refused",
     }
 }
--- a/standin/src/jobs/ledger.rs
+++ b/standin/src/jobs/ledger.rs
@@ -94,7 +94,7 @@
         &mut self,
         task: TaskKey,
         run: u32,
-        life: &str,
+        incarnation: &str,
         payload: &str,
         is_late: bool,
         now: Instant,
@@ -116,31 +116,32 @@
         }
         if !is_late && !ledger.live.is_empty() {
             self.faults.push(format!(
-                "{task} run {run} starts on {life} while it runs on {:?}",
+                "{task} run {run} starts on {incarnation} while it runs on {:?}",
                 ledger.live
             ));
         }
         if !is_late && ledger.is_done_acknowledged {
-            self.faults.push(format!("{task} run {run} starts on {life} after its end was noted"));
+            self.faults
+                .push(format!("{task} run {run} starts on {incarnation} after its end was noted"));
         }
-        ledger.live.insert((life.to_owned(), run));
+        ledger.live.insert((incarnation.to_owned(), run));
         if !is_late {
-            self.check_cancellation(task, run, life, now);
+            self.check_cancellation(task, run, incarnation, now);
         }
         self.check_cap(task);
     }
 
     /// Nothing of a job may begin later than the bound after the acknowledgement of its cancellation.
-    fn check_cancellation(&mut self, task: TaskKey, run: u32, life: &str, now: Instant) {
+    fn check_cancellation(&mut self, task: TaskKey, run: u32, incarnation: &str, now: Instant) {
         let Some(ack) = self.cancellations.get(&task.job) else { return };
         self.starts_cancelled += 1;
         let ledger = self.tasks.entry(task).or_default();
-        ledger.begun_cancelled.insert((life.to_owned(), run));
+        ledger.begun_cancelled.insert((incarnation.to_owned(), run));
         let since = now.saturating_duration_since(ack.at);
         if since > Duration::from_millis(CANCEL_MS) {
             let by = &ack.by;
             self.faults.push(format!(
-                "{task} run {run} starts on {life} {} ms after its job's cancellation was acknowledged by {by}",
+                "{task} run {run} starts on {incarnation} {} ms after its job's cancellation was acknowledged by {by}",
                 since.as_millis()
             ));
         }
@@ -176,9 +177,9 @@
     }
 
     /// A start brings what runs on a worker without a guard to so much, of a room of so much.
-    pub fn filled(&mut self, task: TaskKey, life: &str, wanted: u64, room: u64) {
+    pub fn filled(&mut self, task: TaskKey, incarnation: &str, wanted: u64, room: u64) {
         if wanted > room {
-            self.faults.push(format!("{task} brings {life} to {wanted} of {room}"));
+            self.faults.push(format!("{task} brings {incarnation} to {wanted} of {room}"));
         }
     }
 
@@ -206,11 +207,11 @@
     }
 
     /// A run is over.
-    pub fn ended(&mut self, task: TaskKey, run: u32, life: &str, is_done: bool) {
+    pub fn ended(&mut self, task: TaskKey, run: u32, incarnation: &str, is_done: bool) {
         let ledger = self.tasks.entry(task).or_default();
-        ledger.live.remove(&(life.to_owned(), run));
+        ledger.live.remove(&(incarnation.to_owned(), run));
         ledger.is_done |= is_done;
-        if ledger.begun_cancelled.remove(&(life.to_owned(), run)) && is_done {
+        if ledger.begun_cancelled.remove(&(incarnation.to_owned(), run)) && is_done {
             self.done_cancelled += 1;
         }
     }
--- a/standin/src/jobs/site.rs
+++ b/standin/src/jobs/site.rs
@@ -233,23 +233,25 @@
         loop {
             for (linked, told) in self.vms.iter().zip(&mut told) {
                 let capacity = linked.vm.capacity();
-                let life = linked.vm.life().map(|life| (life, capacity));
-                if life == *told {
+                let incarnation =
+                    linked.vm.incarnation().map(|incarnation| (incarnation, capacity));
+                if incarnation == *told {
                     continue;
                 }
-                let is_same = |old: &WorkerLife| life.as_ref().is_some_and(|(l, _)| l.id == old.id);
+                let is_same =
+                    |old: &WorkerLife| incarnation.as_ref().is_some_and(|(l, _)| l.id == old.id);
                 if let Some((old, _)) = told.take().filter(|(old, _)| !is_same(old)) {
                     self.log.put("keyed.servers", &old.id, b"");
                 }
-                if let Some((life, capacity)) = &life {
+                if let Some((incarnation, capacity)) = &incarnation {
                     let entry = value!({
-                        "service": life.pool, "addr": linked.link.address, "zone": "dc-a",
+                        "service": incarnation.pool, "addr": linked.link.address, "zone": "dc-a",
                         "state": "ready", "capacity": capacity, "labels": ["a", linked.vm.rack],
-                        "born": life.started_ms,
+                        "born": incarnation.started_ms,
                     });
-                    self.log.put("keyed.servers", &life.id, entry.to_string().as_bytes());
+                    self.log.put("keyed.servers", &incarnation.id, entry.to_string().as_bytes());
                 }
-                *told = life;
+                *told = incarnation;
             }
             sleep(HEARTBEAT).await;
         }
--- a/standin/src/jobs/worker.rs
+++ b/standin/src/jobs/worker.rs
@@ -114,7 +114,7 @@
 struct VmState {
     pool: String,
     /// Id of the worker's life; none while the VM is away.
-    life: Option<String>,
+    incarnation: Option<String>,
     lives: u32,
     started_ms: u64,
     /// The id that the next life has as well.
@@ -197,9 +197,9 @@
     }
 
     /// The worker's life; nothing while the VM is away.
-    pub fn life(&self) -> Option<WorkerLife> {
+    pub fn incarnation(&self) -> Option<WorkerLife> {
         let state = self.shared.lock();
-        let (id, pool) = (state.life.clone()?, state.pool.clone());
+        let (id, pool) = (state.incarnation.clone()?, state.pool.clone());
         Some(WorkerLife { id, pool, started_ms: state.started_ms })
     }
 
@@ -216,7 +216,7 @@
     /// The worker loses all that it runs and begins anew under its id, after a moment.
     pub fn crash_and_begin_anew(&self) {
         let mut state = self.shared.lock();
-        let id = state.life.clone();
+        let id = state.incarnation.clone();
         self.shared.crash(&mut state);
         state.kept_id = id;
         state.back = Some(Instant::now() + REBIRTH_TIME);
@@ -238,14 +238,14 @@
     /// A row of the VM list.
     pub fn row(&self) -> Value {
         let state = self.shared.lock();
-        let word = match (&state.life, state.is_maintained) {
+        let word = match (&state.incarnation, state.is_maintained) {
             (Some(_), _) => "up",
             (None, true) => "upkeep",
             (None, false) => "moving",
         };
         value!({
             "machine": self.name, "pool": state.pool, "state": word, "zone": "dc-a",
-            "labels": ["a", self.rack], "capacity": capacity(state.room), "id": state.life,
+            "labels": ["a", self.rack], "capacity": capacity(state.room), "id": state.incarnation,
         })
     }
 
@@ -261,7 +261,7 @@
         if is_done {
             return json(200, &value!({}));
         }
-        if state.life.is_none() {
+        if state.incarnation.is_none() {
             return json(409, &value!({ "reason": "busy" }));
         }
         self.shared.end_life(&mut state);
@@ -283,7 +283,7 @@
     fn begin_life(&mut self, name: &str) {
         self.lives += 1;
         let id = self.kept_id.take();
-        self.life = Some(id.unwrap_or_else(|| format!("{name}-{}", self.lives)));
+        self.incarnation = Some(id.unwrap_or_else(|| format!("{name}-{}", self.lives)));
         self.started_ms = self.started_ms.max(ibisweir::clock::system_ms()) + 1;
         self.back = None;
         (self.doom, self.is_dark) = (None, false);
@@ -302,7 +302,7 @@
 
     /// By what the ledger knows the present life.
     fn mark(&self) -> String {
-        format!("{}@{}", self.life.as_deref().unwrap_or(""), self.started_ms)
+        format!("{}@{}", self.incarnation.as_deref().unwrap_or(""), self.started_ms)
     }
 
     fn used(&self) -> u64 {
@@ -336,10 +336,10 @@
     }
 
     fn end_life(&self, state: &mut VmState) {
-        let life = state.mark();
-        state.life = None;
+        let incarnation = state.mark();
+        state.incarnation = None;
         for (task, run) in std::mem::take(&mut state.running).into_keys() {
-            self.ledger().ended(task, run, &life, false);
+            self.ledger().ended(task, run, &incarnation, false);
         }
         self.ended.notify_waiters();
     }
@@ -363,10 +363,10 @@
         if state.back.is_some_and(|back| now >= back) {
             state.begin_life(name);
         }
-        if state.life.is_none() {
+        if state.incarnation.is_none() {
             return;
         }
-        let life = state.mark();
+        let incarnation = state.mark();
         let is_lapsed = clock >= state.lease_until_ms;
         let mut over = Vec::new();
         for (key, task) in &state.running {
@@ -383,7 +383,7 @@
         }
         for (key, how) in &over {
             state.end(*key, how);
-            self.ledger().ended(key.0, key.1, &life, *how == "done");
+            self.ledger().ended(key.0, key.1, &incarnation, *how == "done");
         }
         if !over.is_empty() {
             self.ended.notify_waiters();
@@ -401,8 +401,8 @@
         call: &AskedCall,
         body: &Value,
     ) -> Result<String, CallRefusal> {
-        let life = state.life.clone().ok_or(CallRefusal::Away)?;
-        if call.header("expect-instance") != life {
+        let incarnation = state.incarnation.clone().ok_or(CallRefusal::Away)?;
+        if call.header("expect-instance") != incarnation {
             return Err(CallRefusal::OtherLife);
         }
         let fence = body["fence"].as_u64().unwrap_or(0);
@@ -424,15 +424,15 @@
     fn carry_out(&self, call: &AskedCall, is_late: bool) -> GivenAnswer {
         let body = call.json();
         let mut state = self.lock();
-        let life = match self.admit(&mut state, call, &body) {
-            Ok(life) => life,
+        let incarnation = match self.admit(&mut state, call, &body) {
+            Ok(incarnation) => incarnation,
             Err(refusal) => return self.refuse_call(refusal),
         };
         let run = u32::try_from(body["run"].as_u64().unwrap_or(0)).unwrap_or(0);
         let task = body["task"].as_str().and_then(TaskKey::parse);
         match (call.path.as_str(), task) {
             ("/run-start", Some(task)) => {
-                self.start(&mut state, &life, (task, run), &body, is_late)
+                self.start(&mut state, &incarnation, (task, run), &body, is_late)
             }
             ("/run-stop", Some(task)) => {
                 if let Some(live) = state.running.get_mut(&(task, run)) {
@@ -449,7 +449,7 @@
     fn start(
         &self,
         state: &mut VmState,
-        life: &str,
+        incarnation: &str,
         key: (TaskKey, u32),
         body: &Value,
         is_late: bool,
@@ -471,7 +471,7 @@
         let wanted = state.used() + text.cpu;
         if state.pool == UNGUARDED {
             let room = state.room_due();
-            self.ledger().filled(key.0, life, wanted, room);
+            self.ledger().filled(key.0, incarnation, wanted, room);
         } else if wanted > state.room {
             return self.refusal("room");
         }
@@ -481,7 +481,7 @@
         }
         let now = Instant::now();
         state.running.insert(key, LiveTask { text, begun: now, stop: None });
-        self.ledger().started(key.0, key.1, life, payload, is_late, now);
+        self.ledger().started(key.0, key.1, incarnation, payload, is_late, now);
         json(200, &value!({ "clock-ms": clock }))
     }
 
--- a/standin/src/measure/fleet.rs
+++ b/standin/src/measure/fleet.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use ibisweir::decide::fleet::{FleetBody, FleetRecord, FleetState, StewardAct, VmPhase};
-use ibisweir::decide::wave::{PlanInput, PlanTimes, ProbeView, plan, product_loads, shortfall};
+use ibisweir::decide::wave::{PlanInput, PlanTimes, ProbeView, plan, product_workers, shortfall};
 use ibisweir::document::{IntentDocument, WaveSpec};
 use ibisweir::error::CodeResult;
 use ibisweir::name::{CentreName, EntryName, RackName, VmName, WaveName};
@@ -116,7 +116,7 @@
             fleets.insert(centre.name.clone(), Arc::new(FleetState::default()));
         }
         for vm in &document.vms {
-            let probe = ProbeView { boot: 1, answers: true, silent_ms: 0 };
+            let probe = ProbeView { boot: 1, is_answering: true, silent_ms: 0 };
             probes.insert(vm.name.clone(), probe);
         }
         let mut run = FleetRun {
@@ -239,14 +239,14 @@
         for vm in due {
             self.back_at.remove(&vm);
             if let Some(probe) = self.probes.get_mut(&vm) {
-                *probe = ProbeView { boot: probe.boot + 1, answers: true, silent_ms: 0 };
+                *probe = ProbeView { boot: probe.boot + 1, is_answering: true, silent_ms: 0 };
             }
         }
         let rebooting: Vec<VmName> = self.back_at.keys().cloned().collect();
         for vm in rebooting {
             if let Some(probe) = self.probes.get_mut(&vm) {
-                is_news |= probe.answers;
-                probe.answers = false;
+                is_news |= probe.is_answering;
+                probe.is_answering = false;
                 probe.silent_ms += step_ms;
             }
         }
@@ -285,7 +285,7 @@
         let Some(first) = self.centres().into_iter().next() else { return };
         let day = self.now_ms / 86_400_000;
         let document = self.document.clone();
-        let loads = product_loads(&document, &self.fleets);
+        let loads = product_workers(&document, &self.fleets);
         for product in &document.products {
             let load = loads.get(&product.name).copied().unwrap_or_default();
             let short = shortfall(&document, &load, product);
@@ -340,7 +340,8 @@
         }
         let day = self.now_ms / 86_400_000;
         let spent = |product: &ibisweir::document::ProductSpec| {
-            let spent: u64 = self.fleets.values().map(|f| f.spent_ms(&product.name, day)).sum();
+            let spent: u64 =
+                self.fleets.values().map(|f| f.spent_worker_ms(&product.name, day)).sum();
             spent > u64::from(product.budget_worker_minutes) * 60_000
         };
         self.figures.overspent = self.document.products.iter().filter(|p| spent(p)).count();
--- a/standin/src/measure/path.rs
+++ b/standin/src/measure/path.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
-use ibisweir::decide::slot::{BlindChoice, BorrowedSlots, SlotPolicy, StaticSplit, TwoChoices};
+use ibisweir::decide::slot::{BorrowedSlots, RandomChoice, SlotPolicy, StaticSplit, TwoChoices};
 use ibisweir::error::CodeResult;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -201,7 +201,7 @@
         let borrow = slot_row(&mut table, part, "borrowed (ours)", BorrowedSlots).await?;
         let split = slot_row(&mut table, part, "static split", StaticSplit).await?;
         let two = slot_row(&mut table, part, "two choices", TwoChoices).await?;
-        slot_row(&mut table, part, "blind choice", BlindChoice).await?;
+        slot_row(&mut table, part, "blind choice", RandomChoice).await?;
         table.verdict(
             format!("load {part}: ours answers as many as static split and two choices"),
             borrow >= split.max(two) * 0.995,
@@ -243,7 +243,7 @@
         &["way", "goodput / capacity", "late", "refused", "refusal p99 ms", "answer p99 ms"],
     );
     let ours = overload_row(&mut table, "ours", BorrowedSlots, 2).await?;
-    overload_row(&mut table, "blind choice, blind retries", BlindChoice, 10).await?;
+    overload_row(&mut table, "blind choice, blind retries", RandomChoice, 10).await?;
     let goodput = ours.goodput;
     table.verdict(format!("goodput {goodput:.3} of capacity, 0.95 or more"), goodput >= 0.95);
     table.verdict(format!("{} late answers, none allowed", ours.late), ours.late == 0);
@@ -304,7 +304,7 @@
         &["way", "failures from second 4 on", "of", "others' load max / min"],
     );
     let ours = failing_row(&mut table, "ours", BorrowedSlots, 3, 2_000).await?;
-    failing_row(&mut table, "blind choice, nobody left out, no retry", BlindChoice, 1, 1).await?;
+    failing_row(&mut table, "blind choice, nobody left out, no retry", RandomChoice, 1, 1).await?;
     table.verdict(format!("{:.4} of requests fail, 0.005 at most", ours.0), ours.0 <= 0.005);
     table.verdict(format!("others' load max / min {:.2}, 1.25 at most", ours.1), ours.1 <= 1.25);
     Ok(table)
--- a/standin/src/measure/publish.rs
+++ b/standin/src/measure/publish.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use ibisweir::decide::intent::IntentVerdict;
+use ibisweir::decide::intent::PublishOutcome;
 use ibisweir::document::IntentDocument;
 use ibisweir::error::CodeResult;
 use ibisweir::name::TeamName;
@@ -128,11 +128,11 @@
     for task in tasks {
         for (base, verdict) in task.await.map_err(failed)?? {
             match verdict {
-                IntentVerdict::Accepted { .. } => {
+                PublishOutcome::Accepted { .. } => {
                     accepted += 1;
                     *winners.entry(base).or_default() += 1;
                 }
-                IntentVerdict::Lost { .. } | IntentVerdict::Faulty => lost += 1,
+                PublishOutcome::Lost { .. } | PublishOutcome::Faulty => lost += 1,
             }
         }
     }
@@ -140,11 +140,11 @@
     let last = IntentPublisher::open(log, PATIENCE).await?;
     let revisions: Vec<u64> = last
         .state()
-        .verdicts
+        .outcomes
         .iter()
-        .filter_map(|line| match line.verdict {
-            IntentVerdict::Accepted { revision } => Some(revision),
-            IntentVerdict::Lost { .. } | IntentVerdict::Faulty => None,
+        .filter_map(|line| match line.outcome {
+            PublishOutcome::Accepted { revision } => Some(revision),
+            PublishOutcome::Lost { .. } | PublishOutcome::Faulty => None,
         })
         .collect();
     let reverts = revisions.windows(2).filter(|pair| pair[0] >= pair[1]).count();
@@ -169,7 +169,7 @@
     log: HttpPlatform,
     document: IntentDocument,
     operator: &'static str,
-) -> CodeResult<Vec<(u64, IntentVerdict)>> {
+) -> CodeResult<Vec<(u64, PublishOutcome)>> {
     let mut verdicts = Vec::new();
     let mut publisher = IntentPublisher::open(log, PATIENCE).await?;
     for number in 0..RACES / 2 {
--- a/standin/src/site.rs
+++ b/standin/src/site.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ibisweir::controller::EntryController;
-use ibisweir::decide::intent::IntentVerdict;
+use ibisweir::decide::intent::PublishOutcome;
 use ibisweir::decide::slot::{BorrowedSlots, SlotPolicy};
 use ibisweir::document::IntentDocument;
 use ibisweir::error::{CodeResult, ResultCode, coded};
@@ -176,9 +176,9 @@
         let log = HttpPlatform::new(self.platform.address, Duration::from_secs(2));
         let mut publisher = IntentPublisher::open(log, PATIENCE).await?;
         match publisher.publish(document, base, "standin", PATIENCE).await? {
-            IntentVerdict::Accepted { revision } => Ok(revision),
-            IntentVerdict::Lost { .. } => Err(coded(ResultCode::PublishLost, "standin")),
-            IntentVerdict::Faulty => Err(coded(ResultCode::DocumentSyntax, "standin")),
+            PublishOutcome::Accepted { revision } => Ok(revision),
+            PublishOutcome::Lost { .. } => Err(coded(ResultCode::PublishLost, "standin")),
+            PublishOutcome::Faulty => Err(coded(ResultCode::DocumentSyntax, "standin")),
         }
     }
 
--- a/tests/access.rs
+++ b/tests/access.rs
@@ -8,7 +8,7 @@
 
 use ibisweir::control::ControlLoop;
 use ibisweir::decide::access::{
-    AccessBook, CallerAccess, KeyDigest, OrganisationSpec, PresentedKey, RevocationRule,
+    AccessTable, CallerAccess, KeyDigest, OrganisationSpec, PresentedKey, RevocationRule,
 };
 use ibisweir::error::ResultCode;
 use ibisweir::jobs::caller_service::{CallerReply, CallerService};
@@ -46,7 +46,7 @@
 /// A configuration of this version with two organisations and these keys.
 fn keyed_config(version: u64, east: &[&str], west: &[&str]) -> SiteConfig {
     let organisations = vec![organisation("east", east), organisation("west", west)];
-    SiteConfig { version, access: Some(AccessBook::from(organisations)), ..config() }
+    SiteConfig { version, access: Some(AccessTable::from(organisations)), ..config() }
 }
 
 fn key(text: &str) -> PresentedKey {
@@ -295,11 +295,11 @@
 #[test]
 fn keys_count_for_no_longer_than_the_bound_and_always_where_it_is_not_strict() {
     let rule = RevocationRule { is_strict: true, bound_ms: 5_000 };
-    assert!(rule.honours(Some(1_000), 5_000));
-    assert!(!rule.honours(Some(1_000), 6_000));
-    assert!(!rule.honours(None, 0));
+    assert!(rule.may_honour(Some(1_000), 5_000));
+    assert!(!rule.may_honour(Some(1_000), 6_000));
+    assert!(!rule.may_honour(None, 0));
     let rule = RevocationRule { is_strict: false, ..rule };
-    assert!(rule.honours(None, 1_000_000));
+    assert!(rule.may_honour(None, 1_000_000));
 }
 
 /// The log turns an entry away. Another one that reads it tells that its reading began 300 ms ago; the question
@@ -367,7 +367,7 @@
 #[test]
 fn a_digest_tells_nothing_in_a_log_line() {
     assert_eq!(format!("{:?}", KeyDigest::of("secret")), "KeyDigest");
-    let book = AccessBook::from(vec![organisation("east", &["secret"])]);
+    let book = AccessTable::from(vec![organisation("east", &["secret"])]);
     assert!(!format!("{book:?}").contains("secret"));
     assert!(book.owner(&KeyDigest::of("secret")).is_some());
 }
--- a/tests/append_room.rs
+++ b/tests/append_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ibisweir::decide::append_room::{AppendRoom, ROOM_MAX, ROOM_MIN, SentBody};
+use ibisweir::decide::append_limit::{APPEND_BYTES_MAX, APPEND_BYTES_MIN, AppendLimit, SentBody};
 
 /// Time of the log itself.
 const LOG_TIME: Duration = Duration::from_millis(4);
@@ -13,7 +13,7 @@
 }
 
 /// Sends full appends over a link of so many bytes a millisecond; the last room.
-fn settle(room: &mut AppendRoom, rate: usize, appends: usize) -> usize {
+fn settle(room: &mut AppendLimit, rate: usize, appends: usize) -> usize {
     for _ in 0..appends {
         let bytes = room.bytes();
         let took = u64::try_from(bytes * 1_000 / rate).expect("a short time");
@@ -27,46 +27,46 @@
 #[test]
 fn an_append_takes_what_its_link_carries_in_a_short_time() {
     for rate in [100, 250, 1_250, 25_000] {
-        let mut room = AppendRoom::default();
+        let mut room = AppendLimit::default();
         let bytes = settle(&mut room, rate, 10);
-        assert!(bytes <= (rate * 200).min(ROOM_MAX), "{bytes} at {rate}");
-        assert!(bytes >= (rate * 50).min(ROOM_MAX), "{bytes} at {rate}");
+        assert!(bytes <= (rate * 200).min(APPEND_BYTES_MAX), "{bytes} at {rate}");
+        assert!(bytes >= (rate * 50).min(APPEND_BYTES_MAX), "{bytes} at {rate}");
     }
 }
 
 /// Guards against an append that stays large for many tries on a link that has become narrow.
 #[test]
 fn one_slow_append_tells_of_a_link_that_has_become_narrow() {
-    let mut room = AppendRoom::default();
-    assert_eq!(settle(&mut room, 25_000, 10), ROOM_MAX);
+    let mut room = AppendLimit::default();
+    assert_eq!(settle(&mut room, 25_000, 10), APPEND_BYTES_MAX);
     assert!(settle(&mut room, 250, 1) <= 50_000);
 }
 
 /// Guards against appends that stay small once a link carries much again.
 #[test]
 fn appends_grow_again_with_their_link() {
-    let mut room = AppendRoom::default();
+    let mut room = AppendLimit::default();
     settle(&mut room, 10, 10);
-    assert_eq!(room.bytes(), ROOM_MIN);
-    assert_eq!(settle(&mut room, 25_000, 10), ROOM_MAX);
+    assert_eq!(room.bytes(), APPEND_BYTES_MIN);
+    assert_eq!(settle(&mut room, 25_000, 10), APPEND_BYTES_MAX);
 }
 
 /// Guards against a slow log that is taken for a narrow link: the more appends, the longer all wait.
 #[test]
 fn appends_do_not_shrink_for_good_as_the_log_turns_slow() {
-    let mut room = AppendRoom::default();
+    let mut room = AppendLimit::default();
     settle(&mut room, 25_000, 10);
     for _ in 0..20 {
         room.learn(answered(200, Duration::from_millis(300)));
         room.learn(answered(room.bytes(), Duration::from_millis(320)));
     }
-    assert_eq!(room.bytes(), ROOM_MAX);
+    assert_eq!(room.bytes(), APPEND_BYTES_MAX);
 }
 
 /// Guards against appends without end on a link that takes nothing, each as large as the one before.
 #[test]
 fn a_full_append_without_an_answer_makes_the_next_one_smaller() {
-    let mut room = AppendRoom::default();
+    let mut room = AppendLimit::default();
     let before = room.bytes();
     room.learn(SentBody { bytes: before, took: Duration::ZERO, answered: None });
     assert_eq!(room.bytes(), before / 2);
@@ -75,7 +75,7 @@
 /// Guards against small appends on a wide link, as small ones tell nothing of it, and no connection at all even less.
 #[test]
 fn an_append_that_was_not_full_changes_nothing() {
-    let mut room = AppendRoom::default();
+    let mut room = AppendLimit::default();
     let before = room.bytes();
     room.learn(answered(200, LOG_TIME));
     room.learn(SentBody { bytes: 200, took: Duration::ZERO, answered: None });
@@ -86,18 +86,21 @@
 /// Guards against an append that is given the same short time again and again, though no try of it gets through.
 #[test]
 fn an_append_has_more_time_after_each_loss() {
-    let mut room = AppendRoom::default();
+    let mut room = AppendLimit::default();
     let bytes = room.bytes();
-    let before = room.carry_time(bytes).whole;
+    let before = room.send_timeout(bytes).after_send;
     room.learn(SentBody { bytes, took: Duration::ZERO, answered: None });
-    assert_eq!(room.carry_time(bytes).whole, before * 2);
+    assert_eq!(room.send_timeout(bytes).after_send, before * 2);
     for _ in 0..20 {
         room.learn(SentBody { bytes, took: Duration::ZERO, answered: None });
     }
     assert!(
-        room.carry_time(ROOM_MAX).whole < Duration::from_secs(10),
+        room.send_timeout(APPEND_BYTES_MAX).after_send < Duration::from_secs(10),
         "the log may be back long before"
     );
     room.learn(answered(bytes, LOG_TIME));
-    assert!(room.carry_time(ROOM_MIN).whole <= Duration::from_millis(200), "an answer ends it");
+    assert!(
+        room.send_timeout(APPEND_BYTES_MIN).after_send <= Duration::from_millis(200),
+        "an answer ends it"
+    );
 }
--- a/tests/behind_log.rs
+++ b/tests/behind_log.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use ibisweir::decide::access::CallerMark;
+use ibisweir::decide::access::OrganisationDigest;
 use ibisweir::jobs::follower::{TailStep, fold_step};
 use ibisweir::jobs::model::{JobId, JobState};
 use ibisweir::jobs::node::JobNode;
@@ -155,7 +155,7 @@
     lead(&node);
     node.fold_own(&[completed(1), submitted(3)], 305, 307);
     // Once more as the caller's entry, that knows no offset.
-    let unseen = JobRecord::CancelledBy(job_id(4), CallerMark::of(None));
+    let unseen = JobRecord::CancelledBy(job_id(4), OrganisationDigest::of(None));
     node.fold_own(std::slice::from_ref(&unseen), 307, 308);
     node.fold(&[(0, submitted(3)), (0, unseen)]);
     renew(&node, &[(0, submitted(1)), (1, submitted(2))]);
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -8,7 +8,7 @@
 
 use ibisweir::control::ControlLoop;
 use ibisweir::decide::leadership::{
-    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, RENEWAL_MS,
+    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, RENEWAL_INTERVAL_MS,
 };
 use ibisweir::decide::replica::ReplicaList;
 use ibisweir::jobs::conductor::ConductorParts;
@@ -70,7 +70,7 @@
     let record = LeadershipRecord {
         act: LeadershipAct::Claim,
         holder: "front-9".into(),
-        life: 9,
+        incarnation: 9,
         address: "127.0.0.9:9".parse().expect("an address"),
         replicas: ReplicaList::default(),
         append_ms: 0,
@@ -154,7 +154,7 @@
     LeadershipLoop {
         node,
         parts,
-        own: HolderId { name: "front-1".into(), life: 1, delay_ms: 0 },
+        own: HolderId { name: "front-1".into(), incarnation: 1, delay_ms: 0 },
         view: LeadershipView::default(),
         conductor: None,
         is_in_doubt: false,
@@ -217,7 +217,7 @@
         assert!(leadership.node.now() < renewed_ms + 2_000, "the term does not end");
     }
     let trace = leadership.view.predecessor(&leadership.own).expect("a leader before");
-    assert!(trace.seen_ms + RENEWAL_MS >= renewed_ms, "{trace:?} at {renewed_ms}");
+    assert!(trace.seen_ms + RENEWAL_INTERVAL_MS >= renewed_ms, "{trace:?} at {renewed_ms}");
     let ended = Instant::now();
     while leadership.conductor.is_none() {
         let pause = leadership.step().await;
--- a/tests/command_flow.rs
+++ b/tests/command_flow.rs
@@ -14,7 +14,7 @@
 fn the_window_opens_while_answers_come_fast() {
     let mut window = CommandWindow::default();
     for n in 0..1_000 {
-        window.ended(4_000 + n % 3 * 1_000, true, true, 1_000 + n);
+        window.record_end(4_000 + n % 3 * 1_000, true, true, 1_000 + n);
     }
     assert!(window.size() >= 1_000, "{}", window.size());
 }
@@ -25,7 +25,7 @@
     let mut window = CommandWindow::default();
     let before = window.size();
     for n in 0..1_000 {
-        window.ended(4_000, true, false, 1_000 + n);
+        window.record_end(4_000, true, false, 1_000 + n);
     }
     assert_eq!(window.size(), before);
 }
@@ -39,7 +39,7 @@
     for n in 0..2_000 {
         let is_answered = n % 3 != 0;
         let delay = if is_answered { 4_000 } else { 450_000 };
-        window.ended(delay, is_answered, true, 1_000 + n * 5);
+        window.record_end(delay, is_answered, true, 1_000 + n * 5);
     }
     assert!(window.size() >= before, "{}", window.size());
 }
@@ -49,11 +49,11 @@
 fn a_line_beyond_every_time_limit_closes_the_window() {
     let mut window = CommandWindow::default();
     for n in 0..20 {
-        window.ended(4_000, true, true, 1_000 + n);
+        window.record_end(4_000, true, true, 1_000 + n);
     }
     let before = window.size();
     for n in 0..200 {
-        window.ended(450_000, false, true, 2_000 + n * 20);
+        window.record_end(450_000, false, true, 2_000 + n * 20);
     }
     assert!(window.size() * 4 < before, "{}", window.size());
 }
@@ -63,15 +63,15 @@
 #[test]
 fn a_busy_process_is_no_line() {
     let mut window = CommandWindow::default();
-    window.ended(4_000, true, false, 1_000);
+    window.record_end(4_000, true, false, 1_000);
     for n in 0..100 {
-        window.ended(50_000, true, false, 1_000 + n);
+        window.record_end(50_000, true, false, 1_000 + n);
     }
-    assert_eq!(window.line_ms(1_100), 0);
+    assert_eq!(window.queue_delay_ms(1_100), 0);
     for n in 0..100 {
-        window.ended(200_000, true, false, 1_100 + n);
+        window.record_end(200_000, true, false, 1_100 + n);
     }
-    assert!((80..=200).contains(&window.line_ms(1_200)), "{}", window.line_ms(1_200));
+    assert!((80..=200).contains(&window.queue_delay_ms(1_200)), "{}", window.queue_delay_ms(1_200));
 }
 
 /// The line was long when other entries took over all starts. No answer tells since how it is: what was put off
@@ -79,12 +79,12 @@
 #[test]
 fn a_line_that_nothing_tells_of_is_forgotten() {
     let mut window = CommandWindow::default();
-    window.ended(4_000, true, false, 1_000);
+    window.record_end(4_000, true, false, 1_000);
     for n in 0..100 {
-        window.ended(300_000, true, false, 1_000 + n);
+        window.record_end(300_000, true, false, 1_000 + n);
     }
-    assert!(window.line_ms(1_100) > 0);
-    assert_eq!(window.line_ms(4_000), 0);
+    assert!(window.queue_delay_ms(1_100) > 0);
+    assert_eq!(window.queue_delay_ms(4_000), 0);
 }
 
 /// A link that has carried 5,000 starts a second carries 250 from one moment to the next, in a burst. Each start
--- a/tests/delegate.rs
+++ b/tests/delegate.rs
@@ -52,7 +52,7 @@
 const AHEAD_MS: u64 = 3_600_000;
 
 fn batch(node: &JobNode, starts: Vec<DelegatedStart>) -> Vec<u8> {
-    let stamp = ExecutorStamp { life: node.life, sent_ms: node.now() + AHEAD_MS };
+    let stamp = ExecutorStamp { incarnation: node.incarnation, sent_ms: node.now() + AHEAD_MS };
     postcard::to_stdvec(&StartBatch { stamp, starts }).expect("plain values")
 }
 
@@ -126,8 +126,9 @@
 async fn a_batch_that_comes_late_is_not_begun() {
     let (node, workers) = (executor(), RecordingWorkers::default());
     let starts = vec![start(1, 0)];
-    let late = ExecutorStamp { life: node.life, sent_ms: node.now() };
-    let foreign = ExecutorStamp { life: node.life ^ 1, sent_ms: node.now() + AHEAD_MS };
+    let late = ExecutorStamp { incarnation: node.incarnation, sent_ms: node.now() };
+    let foreign =
+        ExecutorStamp { incarnation: node.incarnation ^ 1, sent_ms: node.now() + AHEAD_MS };
     sleep(Duration::from_millis(1_300)).await;
     for stamp in [late, foreign] {
         let batch = StartBatch { stamp, starts: starts.clone() };
@@ -194,14 +195,14 @@
     let executor = executor();
     let offer = ExecutorOffer {
         address,
-        life: executor.life,
+        incarnation: executor.incarnation,
         centre: "regina-a".into(),
         processor: 250,
         clock_ms: executor.now() + AHEAD_MS,
         claim_delay_ms: 0,
-        has_copy: true,
+        has_replica: true,
     };
-    leader.executors().heard(offer, leader.now());
+    leader.executors().record_offer(offer, leader.now());
     match workers {
         Some(workers) => {
             drop(tokio::spawn(relay::accept(listener, peer_service(executor, workers))))
@@ -251,7 +252,7 @@
     let (leader, order) = leader();
     let is_told = || leader.metrics.text().contains("not_delegated");
     hand_on(&leader, &order, None, is_told).await;
-    assert!(!leader.executors().has_room(leader.now()));
+    assert!(!leader.executors().has_capacity(leader.now()));
     let now = leader.now();
     let actions = leader.with_scheduler(|scheduler| {
         scheduler.confirm(now);
--- a/tests/executor_table.rs
+++ b/tests/executor_table.rs
@@ -12,12 +12,12 @@
 fn offer(port: u16, centre: &str) -> ExecutorOffer {
     ExecutorOffer {
         address: address(port),
-        life: 7,
+        incarnation: 7,
         centre: centre.into(),
         processor: 250,
         clock_ms: 50_000,
         claim_delay_ms: 0,
-        has_copy: true,
+        has_replica: true,
     }
 }
 
@@ -25,15 +25,15 @@
 #[test]
 fn the_entry_that_will_be_through_first_comes_first() {
     let mut table = ExecutorTable::default();
-    table.heard(ExecutorOffer { processor: 120, ..offer(1, "a") }, 1_000);
-    table.heard(ExecutorOffer { processor: 500, ..offer(2, "b") }, 1_000);
+    table.record_offer(ExecutorOffer { processor: 120, ..offer(1, "a") }, 1_000);
+    table.record_offer(ExecutorOffer { processor: 500, ..offer(2, "b") }, 1_000);
     for _ in 0..2 {
         assert_eq!(table.pick("a", 1_000), Some(address(2)));
-        assert!(table.begin(address(2), 16, 1_000).is_some());
+        assert!(table.begin_batch(address(2), 16, 1_000).is_some());
     }
-    table.end(address(2), 32, true, 1_000);
-    assert!(table.begin(address(2), 47, 1_000).is_some());
-    assert!(table.begin(address(2), 1, 1_000).is_some(), "it is full now");
+    table.end_batch(address(2), 32, true, 1_000);
+    assert!(table.begin_batch(address(2), 47, 1_000).is_some());
+    assert!(table.begin_batch(address(2), 1, 1_000).is_some(), "it is full now");
     assert_eq!(table.pick("a", 1_000), Some(address(1)));
 }
 
@@ -41,10 +41,10 @@
 #[test]
 fn an_entry_beside_the_worker_comes_first() {
     let mut table = ExecutorTable::default();
-    table.heard(offer(1, "a"), 1_000);
-    table.heard(offer(2, "b"), 1_000);
+    table.record_offer(offer(1, "a"), 1_000);
+    table.record_offer(offer(2, "b"), 1_000);
     assert_eq!(table.pick("b", 1_000), Some(address(2)));
-    assert!(table.begin(address(2), 1_000, 1_000).is_some());
+    assert!(table.begin_batch(address(2), 1_000, 1_000).is_some());
     assert_eq!(table.pick("b", 1_000), Some(address(1)));
 }
 
@@ -52,15 +52,15 @@
 #[test]
 fn a_slow_entry_gets_fewer_starts() {
     let mut table = ExecutorTable::default();
-    table.heard(offer(1, "a"), 1_000);
-    table.heard(offer(2, "a"), 1_000);
+    table.record_offer(offer(1, "a"), 1_000);
+    table.record_offer(offer(2, "a"), 1_000);
     let mut given = [0, 0];
     for _ in 0..20 {
         let picked = table.pick("a", 1_000).expect("room");
-        assert!(table.begin(picked, 4, 1_000).is_some());
+        assert!(table.begin_batch(picked, 4, 1_000).is_some());
         given[usize::from(picked.port() - 1)] += 1;
         if picked.port() == 2 {
-            table.end(picked, 4, true, 1_000);
+            table.end_batch(picked, 4, true, 1_000);
         }
     }
     assert!(given[1] >= 15, "{given:?}");
@@ -71,13 +71,13 @@
 #[test]
 fn an_entry_that_does_not_answer_is_passed_over() {
     let mut table = ExecutorTable::default();
-    table.heard(offer(1, "a"), 1_000);
-    assert!(table.begin(address(1), 4, 1_100).is_some());
-    table.end(address(1), 4, false, 2_000);
+    table.record_offer(offer(1, "a"), 1_000);
+    assert!(table.begin_batch(address(1), 4, 1_100).is_some());
+    table.end_batch(address(1), 4, false, 2_000);
     assert_eq!(table.pick("a", 2_000), None);
-    assert!(!table.has_room(2_000));
+    assert!(!table.has_capacity(2_000));
     // Another life of it offers itself and is taken at once.
-    table.heard(ExecutorOffer { life: 8, ..offer(1, "a") }, 2_100);
+    table.record_offer(ExecutorOffer { incarnation: 8, ..offer(1, "a") }, 2_100);
     assert_eq!(table.pick("a", 2_100), Some(address(1)));
     assert_eq!(table.pick("a", 9_000), None, "its last offer is old");
 }
@@ -87,22 +87,22 @@
 #[test]
 fn a_batch_carries_the_executors_own_time() {
     let mut table = ExecutorTable::default();
-    table.heard(offer(1, "a"), 1_000);
-    let stamp = table.begin(address(1), 1, 1_700).expect("known");
-    assert_eq!((stamp.life, stamp.sent_ms), (7, 50_700));
+    table.record_offer(offer(1, "a"), 1_000);
+    let stamp = table.begin_batch(address(1), 1, 1_700).expect("known");
+    assert_eq!((stamp.incarnation, stamp.sent_ms), (7, 50_700));
 }
 
 /// A budget of 1 Mbit/s lets 125 KB a second through, also where each single send is larger than what is left.
 #[test]
 fn a_budget_holds_over_time() {
-    let mut budget = ByteBudget::open(1);
+    let mut budget = ByteBudget::with_rate(1);
     let mut sent = 0;
     for now in 1_000..6_000 {
-        if budget.has_room(now) {
+        if budget.has_capacity(now) {
             budget.charge(20_000);
             sent += 20_000;
         }
     }
     assert!((600_000..=700_000).contains(&sent), "{sent}");
-    assert!(!ByteBudget::open(0).has_room(10_000));
+    assert!(!ByteBudget::with_rate(0).has_capacity(10_000));
 }
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ibisweir::decide::fleet::{
-    DrainReason, FleetBody, FleetRecord, FleetState, FleetVerdict, StewardAct, VmPhase,
+    DrainReason, FleetBody, FleetOutcome, FleetRecord, FleetState, StewardAct, VmPhase,
 };
 use ibisweir::name::{EntryName, PoolName, VmName, WaveName};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
@@ -180,9 +180,9 @@
         if let FleetBody::Act { term, .. } = &record.body {
             // A steward whose term was claimed by another since changes nothing.
             let is_stale = *term != self.terms.0 || record.by != self.terms.1;
-            assert!(!is_stale || verdict != FleetVerdict::Accepted, "a stale act counted");
+            assert!(!is_stale || verdict != FleetOutcome::Accepted, "a stale act counted");
         }
-        if verdict == FleetVerdict::Accepted {
+        if verdict == FleetOutcome::Accepted {
             self.note(&record);
         }
     }
--- a/tests/fold_rules.rs
+++ b/tests/fold_rules.rs
@@ -6,9 +6,9 @@
 use std::sync::LazyLock;
 
 use ibisweir::decide::fleet::{
-    DrainReason, FleetBody, FleetRecord, FleetState, FleetVerdict, StewardAct, VmPhase,
+    DrainReason, FleetBody, FleetOutcome, FleetRecord, FleetState, StewardAct, VmPhase,
 };
-use ibisweir::decide::intent::{IntentBody, IntentRecord, IntentState, IntentVerdict};
+use ibisweir::decide::intent::{IntentBody, IntentRecord, IntentState, PublishOutcome};
 use ibisweir::document::IntentDocument;
 use ibisweir::name::{EntryName, PoolName, VmName, WaveName};
 use ibisweir_standin::fleet::FleetShape;
@@ -31,12 +31,12 @@
         stream
     }
 
-    fn write(&mut self, by: &str, body: FleetBody) -> FleetVerdict {
+    fn write(&mut self, by: &str, body: FleetBody) -> FleetOutcome {
         let record = FleetRecord { id: Uuid::nil(), by: EntryName::from(by), at_ms: 0, body };
         self.state.apply(self.state.through, &record)
     }
 
-    fn act(&mut self, act: StewardAct) -> FleetVerdict {
+    fn act(&mut self, act: StewardAct) -> FleetOutcome {
         let term = self.state.term;
         self.write("e1", FleetBody::Act { term, act })
     }
@@ -44,11 +44,11 @@
     fn drain(&mut self) -> u64 {
         let reason = DrainReason::Wave(WaveName::from("w"));
         let verdict = self.act(StewardAct::Drain { vm: vm(), reason, limit_ms: 10 });
-        assert_eq!(verdict, FleetVerdict::Accepted);
+        assert_eq!(verdict, FleetOutcome::Accepted);
         self.state.through - 1
     }
 
-    fn confirm(&mut self, by: &str, drain: u64) -> FleetVerdict {
+    fn confirm(&mut self, by: &str, drain: u64) -> FleetOutcome {
         self.write(by, FleetBody::Confirm { vm: vm(), drain })
     }
 }
@@ -66,13 +66,13 @@
     stream.confirm("e1", first);
     stream.confirm("e2", first);
     stream.act(StewardAct::Reboot { vm: vm() });
-    assert_eq!(stream.act(StewardAct::Return { vm: vm(), boot: 2 }), FleetVerdict::Accepted);
+    assert_eq!(stream.act(StewardAct::Return { vm: vm(), boot: 2 }), FleetOutcome::Accepted);
     let second = stream.drain();
     stream.confirm("e1", second);
-    assert_eq!(stream.confirm("e2", first), FleetVerdict::Refused);
-    assert_eq!(stream.act(StewardAct::Reboot { vm: vm() }), FleetVerdict::Refused);
-    assert_eq!(stream.confirm("e2", second), FleetVerdict::Accepted);
-    assert_eq!(stream.act(StewardAct::Reboot { vm: vm() }), FleetVerdict::Accepted);
+    assert_eq!(stream.confirm("e2", first), FleetOutcome::Refused);
+    assert_eq!(stream.act(StewardAct::Reboot { vm: vm() }), FleetOutcome::Refused);
+    assert_eq!(stream.confirm("e2", second), FleetOutcome::Accepted);
+    assert_eq!(stream.act(StewardAct::Reboot { vm: vm() }), FleetOutcome::Accepted);
 }
 
 /// An entry that was evicted wakes up and claims the next term before it has read its eviction. It
@@ -81,7 +81,7 @@
 fn only_an_entry_of_the_roster_becomes_steward() {
     let mut stream = Stream::open();
     stream.act(StewardAct::Evict { entry: EntryName::from("e2") });
-    assert_eq!(stream.write("e2", FleetBody::Claim { term: 2 }), FleetVerdict::Refused);
+    assert_eq!(stream.write("e2", FleetBody::Claim { term: 2 }), FleetOutcome::Refused);
     assert_eq!(stream.state.steward, Some(EntryName::from("e1")));
 }
 
@@ -94,8 +94,8 @@
     stream.confirm("e1", drain);
     stream.confirm("e2", drain);
     stream.act(StewardAct::Reboot { vm: vm() });
-    assert_eq!(stream.act(StewardAct::Return { vm: vm(), boot: 1 }), FleetVerdict::Refused);
-    assert_eq!(stream.act(StewardAct::Return { vm: vm(), boot: 2 }), FleetVerdict::Accepted);
+    assert_eq!(stream.act(StewardAct::Return { vm: vm(), boot: 1 }), FleetOutcome::Refused);
+    assert_eq!(stream.act(StewardAct::Return { vm: vm(), boot: 2 }), FleetOutcome::Accepted);
     let state = stream.state.vm(&vm());
     assert_eq!((state.phase, state.waves), (VmPhase::Serving, vec![WaveName::from("w")]));
 }
@@ -107,16 +107,16 @@
     let mut joined = 2;
     for entry in 3..20 {
         let body = FleetBody::Join { peer: "127.0.0.1:3".to_owned() };
-        joined += u32::from(stream.write(&format!("e{entry}"), body) == FleetVerdict::Accepted);
+        joined += u32::from(stream.write(&format!("e{entry}"), body) == FleetOutcome::Accepted);
     }
     assert_eq!(joined, ibisweir::decide::fleet::ENTRY_LANES);
     stream.write("e2", FleetBody::Leave);
     let body = FleetBody::Join { peer: "127.0.0.1:3".to_owned() };
-    assert_eq!(stream.write("e99", body), FleetVerdict::Accepted);
+    assert_eq!(stream.write("e99", body), FleetOutcome::Accepted);
     // The lane of an entry that was evicted may still be in use.
     stream.act(StewardAct::Evict { entry: EntryName::from("e99") });
     let body = FleetBody::Join { peer: "127.0.0.1:3".to_owned() };
-    assert_eq!(stream.write("e100", body), FleetVerdict::Refused);
+    assert_eq!(stream.write("e100", body), FleetOutcome::Refused);
 }
 
 fn publish(id: u128, base: Option<u64>, document: &IntentDocument) -> IntentRecord {
@@ -166,12 +166,12 @@
             _ => publish(id, bases[operator], &DOCUMENT),
         };
         let (offset, before) = (log.len() as u64, state.revision());
-        let was_judged = state.verdict(&record.id);
+        let was_judged = state.outcome(&record.id);
         state.apply(offset, &record);
         log.push(record.clone());
-        let verdict = state.verdict(&record.id).expect("a folded publish has its verdict");
+        let verdict = state.outcome(&record.id).expect("a folded publish has its verdict");
         assert!(was_judged.is_none_or(|was| was == verdict), "a copy changed the verdict");
-        if was_judged.is_none() && matches!(verdict, IntentVerdict::Accepted { .. }) {
+        if was_judged.is_none() && matches!(verdict, PublishOutcome::Accepted { .. }) {
             let IntentBody::Publish { base, .. } = &record.body else { continue };
             *winners.entry(*base).or_default() += 1;
         }
--- a/tests/job_records.rs
+++ b/tests/job_records.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ibisweir::decide::access::CallerMark;
+use ibisweir::decide::access::OrganisationDigest;
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::record::{
     JobProgress, JobRecord, KeyedRecord, LossCount, LostVm, TaskProgress, TaskRestarts,
@@ -97,8 +97,9 @@
 /// Guards against a cancellation of one organisation that replaces another's, or is never dropped.
 #[test]
 fn a_cancellation_that_has_a_mark_has_a_key_of_its_own() {
-    let name = |name: &str| CallerMark::of(Some(&name.into()));
-    let marks = [CallerMark::of(None), name("east"), name("a name, of \"several\" words & more")];
+    let name = |name: &str| OrganisationDigest::of(Some(&name.into()));
+    let marks =
+        [OrganisationDigest::of(None), name("east"), name("a name, of \"several\" words & more")];
     let mut keys = vec![JobRecord::Cancelled(job_id(1)).encode().expect("a record").key];
     for mark in marks {
         let record = JobRecord::CancelledBy(job_id(1), mark);
--- a/tests/job_table_model.rs
+++ b/tests/job_table_model.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use ibisweir::decide::access::CallerMark;
+use ibisweir::decide::access::OrganisationDigest;
 use ibisweir::jobs::catch_up::CatchUpReader;
 use ibisweir::jobs::follower::{TailReader, fold_step};
 use ibisweir::jobs::job_table::JobTable;
@@ -90,7 +90,7 @@
         };
         let leading = if self.leads { Way::Leading } else { Way::Foreign };
         let state = self.told.get(id).and_then(|job| job.state());
-        let mark = CallerMark::of(None);
+        let mark = OrganisationDigest::of(None);
         let (record, way) = match self.random.random_range(0..10) {
             0..3 => (JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)])))), own),
             3 => (JobRecord::Cancelled(id), own),
--- a/tests/key_model.rs
+++ b/tests/key_model.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use ibisweir::decide::fleet::{FleetBody, FleetRecord, FleetState, StewardAct};
-use ibisweir::decide::key::{KeptAnswer, KeyLimits, KeyOutcome, KeyStep, KeyTable, RequestKey};
-use ibisweir::decide::lease::PlaceLease;
-use ibisweir::decide::roster::{HandedOver, KeyRight, LeaseTimes, Moment, OwnerBook};
+use ibisweir::decide::key::{KeptAnswer, KeyDecision, KeyLimits, KeyOutcome, KeyTable, RequestKey};
+use ibisweir::decide::lease::RosterLease;
+use ibisweir::decide::roster::{HandOverNotice, KeyOwnership, KeyRight, LeaseTimes, Moment};
 use ibisweir::name::EntryName;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use support::seeded;
@@ -80,9 +80,9 @@
 struct ModelEntry {
     name: EntryName,
     view: FleetState,
-    book: OwnerBook,
+    book: KeyOwnership,
     table: KeyTable,
-    lease: PlaceLease,
+    lease: RosterLease,
     pending: Vec<Uuid>,
     handed: HashMap<EntryName, u64>,
 }
@@ -120,11 +120,11 @@
         let name = EntryName::from(format!("e{}", self.born).as_str());
         let limits = KeyLimits { window_ms: 1_000_000, skew_ms: 20, keys_max: 10_000 };
         ModelEntry {
-            book: OwnerBook::new(name.clone(), TIMES),
+            book: KeyOwnership::new(name.clone(), TIMES),
             name,
             view: FleetState::default(),
             table: KeyTable::new(limits),
-            lease: PlaceLease::default(),
+            lease: RosterLease::default(),
             pending: Vec::new(),
             handed: HashMap::new(),
         }
@@ -204,7 +204,7 @@
         let entry = &mut self.entries[entry];
         let joined = entry.view.roster.get(&entry.name).map(|me| me.joined);
         if epoch.zip(joined).is_some_and(|(epoch, joined)| epoch >= joined) {
-            entry.book.acquaint(from);
+            entry.book.mark_aware(from);
         }
     }
 
@@ -234,8 +234,8 @@
             for record in &records {
                 peer.table.take_over(record.clone());
             }
-            let handed = HandedOver { from: &from, floor_ms, retired: &retired, last };
-            peer.book.handed_over(&handed);
+            let handed = HandOverNotice { from: &from, floor_ms, retired: &retired, last };
+            peer.book.record_hand_over(&handed);
             self.entries[entry].handed.insert(other, epoch);
         }
     }
@@ -301,7 +301,7 @@
     fn request(&mut self, entry: usize, key: &RequestKey) {
         let right = self.right(entry, &key.id);
         let step = self.entries[entry].table.begin(key, 1, right, self.now_ms);
-        if step == KeyStep::Run {
+        if step == KeyDecision::Run {
             self.entries[entry].pending.push(key.id);
         }
     }
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -122,12 +122,12 @@
 fn offer() -> ExecutorOffer {
     ExecutorOffer {
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
-        life: 7,
+        incarnation: 7,
         centre: "regina-a".into(),
         processor: 250,
         clock_ms: 0,
         claim_delay_ms: 0,
-        has_copy: true,
+        has_replica: true,
     }
 }
 
@@ -151,7 +151,7 @@
 #[tokio::test(start_paused = true)]
 async fn starts_go_through_others_on_a_narrow_link() {
     let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
-    sim.node.executors().heard(offer(), sim.node.now());
+    sim.node.executors().record_offer(offer(), sim.node.now());
     sim.submit(1);
     sleep(Duration::from_millis(50)).await;
     assert!(sim.workers.starts().is_empty());
@@ -170,7 +170,7 @@
 #[tokio::test(start_paused = true)]
 async fn starts_go_from_here_on_a_wide_link() {
     let mut sim = LaneStage::open(site_settings(), AnswerMode::Done);
-    sim.node.executors().heard(offer(), sim.node.now());
+    sim.node.executors().record_offer(offer(), sim.node.now());
     // The budget for starts of our own fills by and by.
     sleep(Duration::from_millis(300)).await;
     sim.submit(4);
@@ -275,15 +275,15 @@
 #[tokio::test(start_paused = true)]
 async fn starts_do_not_fill_a_narrow_link_while_executors_are_passed_over() {
     let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
-    sim.node.executors().heard(offer(), sim.node.now());
+    sim.node.executors().record_offer(offer(), sim.node.now());
     let address = offer().address;
-    sim.node.executors().end(address, 0, false, sim.node.now());
+    sim.node.executors().end_batch(address, 0, false, sim.node.now());
     sim.submit(4);
     sleep(Duration::from_millis(1_000)).await;
     assert!(sim.workers.starts().is_empty(), "they wait for the executor");
     for _ in 0..140 {
         let now = sim.node.now();
-        sim.node.executors().end(address, 0, false, now);
+        sim.node.executors().end_batch(address, 0, false, now);
         sim.node.with_scheduler(|scheduler| {
             scheduler.confirm(now);
             scheduler.jobs_read(now);
@@ -299,8 +299,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_start_that_waits_is_handed_to_executors_once() {
     let mut sim = LaneStage::open(narrow(), AnswerMode::Done);
-    sim.node.executors().heard(offer(), sim.node.now());
-    sim.node.executors().end(offer().address, 0, false, sim.node.now());
+    sim.node.executors().record_offer(offer(), sim.node.now());
+    sim.node.executors().end_batch(offer().address, 0, false, sim.node.now());
     sim.submit(1);
     let target = WorkerTarget { id: "w0".into(), address: worker("w0", "r0").address };
     for _ in 0..2 {
@@ -309,7 +309,7 @@
         sim.lanes.send(&target, again, &mut sim.tasks);
     }
     let now = sim.node.now();
-    sim.node.executors().heard(ExecutorOffer { life: 8, ..offer() }, now);
+    sim.node.executors().record_offer(ExecutorOffer { incarnation: 8, ..offer() }, now);
     sleep(Duration::from_millis(300)).await;
     let text = sim.node.metrics.text();
     let tries = text.lines().find(|line| line.contains("not_delegated"));
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -3,21 +3,21 @@
 use std::net::SocketAddr;
 
 use ibisweir::decide::leadership::{
-    CLOSED_SILENCE_MS, HolderId, LeaderTrace, LeadershipAct, LeadershipRecord, LeadershipView,
-    PredecessorEnd, SILENCE_MS, claim_delay_ms,
+    CLOSED_RENEWAL_TIMEOUT_MS, HolderId, LeadershipAct, LeadershipRecord, LeadershipView,
+    PredecessorEnd, PreviousLeader, RENEWAL_TIMEOUT_MS, claim_delay_ms,
 };
 use ibisweir::decide::replica::ReplicaList;
 
-fn holder(name: &str, life: u64) -> HolderId {
-    HolderId { name: name.into(), life, delay_ms: 0 }
+fn holder(name: &str, incarnation: u64) -> HolderId {
+    HolderId { name: name.into(), incarnation, delay_ms: 0 }
 }
 
-fn record(act: LeadershipAct, name: &str, life: u64) -> LeadershipRecord {
+fn record(act: LeadershipAct, name: &str, incarnation: u64) -> LeadershipRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 7_000));
     LeadershipRecord {
         act,
         holder: name.into(),
-        life,
+        incarnation,
         address,
         replicas: ReplicaList::default(),
         append_ms: 0,
@@ -27,8 +27,8 @@
 /// A view that has read a claim of `a` at 1000 ms.
 fn led_by_a() -> LeadershipView {
     let mut view = LeadershipView::default();
-    view.fold(4, &record(LeadershipAct::Claim, "a", 1), 1_000);
-    view.reached(5, 1_000);
+    view.apply(4, &record(LeadershipAct::Claim, "a", 1), 1_000);
+    view.record_read(5, 1_000);
     view
 }
 
@@ -37,8 +37,8 @@
 fn a_claim_waits_for_the_silence() {
     let view = led_by_a();
     let b = holder("b", 2);
-    assert_eq!(view.claim_in_ms(&b, false, 1_000), Some(SILENCE_MS));
-    assert_eq!(view.claim_in_ms(&b, false, 1_000 + SILENCE_MS), Some(0));
+    assert_eq!(view.claim_in_ms(&b, false, 1_000), Some(RENEWAL_TIMEOUT_MS));
+    assert_eq!(view.claim_in_ms(&b, false, 1_000 + RENEWAL_TIMEOUT_MS), Some(0));
     assert_eq!(view.term, 5);
 }
 
@@ -48,10 +48,10 @@
 fn silence_does_not_count_while_the_log_is_away() {
     let mut view = led_by_a();
     let b = holder("b", 2);
-    view.lost_contact();
+    view.record_read_failure();
     assert_eq!(view.claim_in_ms(&b, false, 9_000), None);
-    view.reached(5, 9_000);
-    assert_eq!(view.claim_in_ms(&b, false, 9_000), Some(SILENCE_MS));
+    view.record_read(5, 9_000);
+    assert_eq!(view.claim_in_ms(&b, false, 9_000), Some(RENEWAL_TIMEOUT_MS));
 }
 
 /// Everything lost power. The process that led before is started again: nobody can lead in its place,
@@ -60,7 +60,7 @@
 fn a_process_claims_at_once_after_its_own_earlier_life() {
     let view = led_by_a();
     assert_eq!(view.claim_in_ms(&holder("a", 2), false, 1_000), Some(0));
-    assert_eq!(view.claim_in_ms(&holder("a", 1), false, 1_000), Some(SILENCE_MS));
+    assert_eq!(view.claim_in_ms(&holder("a", 1), false, 1_000), Some(RENEWAL_TIMEOUT_MS));
 }
 
 /// The leader's process was killed, and an entry that relayed a caller's job found its address
@@ -69,14 +69,14 @@
 fn a_closed_address_shortens_the_silence() {
     let view = led_by_a();
     let b = holder("b", 2);
-    assert_eq!(view.claim_in_ms(&b, true, 1_000), Some(CLOSED_SILENCE_MS));
+    assert_eq!(view.claim_in_ms(&b, true, 1_000), Some(CLOSED_RENEWAL_TIMEOUT_MS));
 }
 
 /// A leader that stops says so, and its successor need not wait.
 #[test]
 fn a_resignation_frees_the_leadership_at_once() {
     let mut view = led_by_a();
-    view.fold(5, &record(LeadershipAct::Resign, "a", 1), 2_000);
+    view.apply(5, &record(LeadershipAct::Resign, "a", 1), 2_000);
     assert_eq!(view.claim_in_ms(&holder("b", 2), false, 2_000), Some(0));
     assert_eq!(view.address, None);
     assert!(!view.is_held_by(&holder("a", 1)));
@@ -91,16 +91,16 @@
     assert!(delay_ms > claim_delay_ms(500, 10) && claim_delay_ms(500, 10) > 0);
     let view = led_by_a();
     let weak = HolderId { delay_ms, ..holder("b", 2) };
-    assert_eq!(view.claim_in_ms(&weak, false, 1_000), Some(SILENCE_MS + delay_ms));
-    assert_eq!(view.claim_in_ms(&weak, false, 1_000 + SILENCE_MS + delay_ms), Some(0));
+    assert_eq!(view.claim_in_ms(&weak, false, 1_000), Some(RENEWAL_TIMEOUT_MS + delay_ms));
+    assert_eq!(view.claim_in_ms(&weak, false, 1_000 + RENEWAL_TIMEOUT_MS + delay_ms), Some(0));
 }
 
 /// Two processes claim at once; the log takes the first, and the second reads who won.
 #[test]
 fn the_loser_of_a_race_learns_the_winner_by_reading_on() {
     let mut view = LeadershipView::default();
-    view.reached(0, 500);
-    view.fold(0, &record(LeadershipAct::Claim, "b", 2), 600);
+    view.record_read(0, 500);
+    view.apply(0, &record(LeadershipAct::Claim, "b", 2), 600);
     assert!(view.is_held_by(&holder("b", 2)));
     assert!(!view.is_held_by(&holder("a", 1)));
     assert_eq!(view.term, 1);
@@ -112,13 +112,13 @@
 #[test]
 fn only_a_resignation_or_a_restart_shows_that_the_leader_before_has_ended() {
     let view = led_by_a();
-    let seen = |end| Some(LeaderTrace { seen_ms: 1_000, end });
+    let seen = |end| Some(PreviousLeader { seen_ms: 1_000, end });
     assert_eq!(view.predecessor(&holder("b", 2)), seen(PredecessorEnd::Unknown));
     assert_eq!(view.predecessor(&holder("a", 2)), seen(PredecessorEnd::Restarted));
     assert_eq!(LeadershipView::default().predecessor(&holder("b", 2)), None);
 
     let mut resigned = led_by_a();
-    resigned.fold(5, &record(LeadershipAct::Resign, "a", 1), 2_000);
-    let trace = LeaderTrace { seen_ms: 2_000, end: PredecessorEnd::Resigned };
+    resigned.apply(5, &record(LeadershipAct::Resign, "a", 1), 2_000);
+    let trace = PreviousLeader { seen_ms: 2_000, end: PredecessorEnd::Resigned };
     assert_eq!(resigned.predecessor(&holder("b", 2)), Some(trace));
 }
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use ibisweir::decide::access::CallerMark;
+use ibisweir::decide::access::OrganisationDigest;
 use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::node::JobNode;
@@ -162,7 +162,7 @@
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(1)]));
     sim.append(&JobRecord::Cancelled(id));
-    sim.append(&JobRecord::CancelledBy(job_id(2), CallerMark::of(None)));
+    sim.append(&JobRecord::CancelledBy(job_id(2), OrganisationDigest::of(None)));
     sim.advance(1_000);
     let (now, kept_ms) = (sim.now, bounds().status_ms + 31_000);
     sim.scheduler.tick(now, WALL_OFFSET_MS + now + 10 * kept_ms);
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -11,9 +11,9 @@
 use ibisweir::control::ControlLoop;
 use ibisweir::decide::executor::ExecutorOffer;
 use ibisweir::decide::leadership::{
-    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, SILENCE_MS,
+    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, RENEWAL_TIMEOUT_MS,
 };
-use ibisweir::decide::replica::{REPLICAS_MAX, ReplicaList, ReplicaPlanner, offer_gap_ms};
+use ibisweir::decide::replica::{REPLICAS_MAX, ReplicaList, ReplicaPlanner, offer_interval_ms};
 use ibisweir::jobs::follower::{JobFollower, TailReader};
 use ibisweir::jobs::model::JobState;
 use ibisweir::jobs::node::JobNode;
@@ -39,15 +39,15 @@
     SocketAddr::from(([10, 0, octet(number / 256), octet(number)], 7_060))
 }
 
-fn offer(number: usize, has_copy: bool) -> ExecutorOffer {
+fn offer(number: usize, has_replica: bool) -> ExecutorOffer {
     ExecutorOffer {
         address: address(number),
-        life: 1,
+        incarnation: 1,
         centre: CENTRES[number % CENTRES.len()].into(),
         processor: 250,
         clock_ms: 0,
         claim_delay_ms: if (number / CENTRES.len()).is_multiple_of(FIT_PART) { 0 } else { 1_000 },
-        has_copy,
+        has_replica,
     }
 }
 
@@ -58,14 +58,14 @@
 /// Runs a planner from `from_ms` on: each of these entries makes its offers, and tells that it has a copy once it is
 /// listed.
 fn run(planner: &mut ReplicaPlanner, entries: &[usize], from_ms: u64, for_ms: u64) -> ReplicaList {
-    let gap_ms = offer_gap_ms(u32::try_from(entries.len()).expect("a few"));
+    let gap_ms = offer_interval_ms(u32::try_from(entries.len()).expect("a few"));
     let mut list = planner.list().clone();
     for now in (from_ms..from_ms + for_ms).step_by(100) {
         for number in entries {
-            let is_listed = list.has(address(*number));
+            let is_listed = list.contains(address(*number));
             let gap_ms = if is_listed { 1_200 } else { gap_ms };
             if (now + 100 * *number as u64) % gap_ms < 100 {
-                planner.heard(&offer(*number, is_listed), now);
+                planner.record_offer(&offer(*number, is_listed), now);
             }
         }
         list = planner.plan(now).clone();
@@ -114,7 +114,7 @@
     let lost = listed(&before)[0];
     let others: Vec<usize> = all.iter().copied().filter(|one| address(*one) != lost).collect();
     let without = run(&mut planner, &others, 40_000, 10_000);
-    assert!(!without.has(lost));
+    assert!(!without.contains(lost));
     assert_eq!(listed(&without).len(), listed(&before).len());
     assert_eq!(run(&mut planner, &all, 50_000, 20_000).centres, without.centres);
 }
@@ -125,7 +125,7 @@
 fn a_successor_goes_on_with_the_copies_that_are_there() {
     let all: Vec<usize> = (0..300).collect();
     let before = planned(all.len());
-    let mut planner = ReplicaPlanner::open(before.clone(), 90_000);
+    let mut planner = ReplicaPlanner::resume(before.clone(), 90_000);
     for from_ms in (90_000..100_000).step_by(500) {
         assert_eq!(run(&mut planner, &all, from_ms, 500).centres, before.centres, "{from_ms}");
     }
@@ -135,14 +135,14 @@
     let record = LeadershipRecord {
         act: LeadershipAct::Claim,
         holder: "a".into(),
-        life: 1,
+        incarnation: 1,
         address: address(0),
         replicas,
         append_ms: 0,
     };
     let mut view = LeadershipView::default();
-    view.fold(4, &record, 1_000);
-    view.reached(5, 1_000);
+    view.apply(4, &record, 1_000);
+    view.record_read(5, 1_000);
     view
 }
 
@@ -153,23 +153,25 @@
     let mut replicas = ReplicaList { entries: 585, ..ReplicaList::default() };
     replicas.add(&"a".into(), address(0));
     let view = view_of(replicas);
-    let holder = |life| HolderId { name: "b".into(), life, delay_ms: 0 };
+    let holder = |incarnation| HolderId { name: "b".into(), incarnation, delay_ms: 0 };
     let copies = |now| {
-        (0..entries).filter(|life| view.keeps_copy(&holder(life * 7_919), address(1), now)).count()
+        (0..entries)
+            .filter(|incarnation| view.is_replica(&holder(incarnation * 7_919), address(1), now))
+            .count()
     };
-    assert!(view.keeps_copy(&holder(1), address(0), 1_000));
-    assert_eq!(copies(1_000 + SILENCE_MS + 1_000), 0);
-    let second = copies(1_000 + SILENCE_MS + 3_000);
+    assert!(view.is_replica(&holder(1), address(0), 1_000));
+    assert_eq!(copies(1_000 + RENEWAL_TIMEOUT_MS + 1_000), 0);
+    let second = copies(1_000 + RENEWAL_TIMEOUT_MS + 3_000);
     assert!((REPLICAS_MAX / 2..=REPLICAS_MAX * 2).contains(&second), "{second}");
-    assert_eq!(copies(1_000 + SILENCE_MS + 40_000), 585);
+    assert_eq!(copies(1_000 + RENEWAL_TIMEOUT_MS + 40_000), 585);
 }
 
 /// Guards against entries without a copy beside a leader of an earlier version, which lists none, and on a new log.
 #[test]
 fn every_entry_keeps_a_copy_where_nobody_lists_any() {
-    let holder = HolderId { name: "b".into(), life: 1, delay_ms: 0 };
-    assert!(view_of(ReplicaList::default()).keeps_copy(&holder, address(1), 1_000));
-    assert!(LeadershipView::default().keeps_copy(&holder, address(1), 1_000));
+    let holder = HolderId { name: "b".into(), incarnation: 1, delay_ms: 0 };
+    assert!(view_of(ReplicaList::default()).is_replica(&holder, address(1), 1_000));
+    assert!(LeadershipView::default().is_replica(&holder, address(1), 1_000));
 }
 
 /// Guards against a leadership record of an earlier version that can't be read.
@@ -178,12 +180,13 @@
     let whole = LeadershipRecord {
         act: LeadershipAct::Renew,
         holder: "a".into(),
-        life: 3,
+        incarnation: 3,
         address: address(0),
         replicas: ReplicaList::default(),
         append_ms: 0,
     };
-    let earlier = postcard::to_stdvec(&(whole.act, &whole.holder, whole.life, whole.address));
+    let earlier =
+        postcard::to_stdvec(&(whole.act, &whole.holder, whole.incarnation, whole.address));
     let earlier = earlier.expect("encoded");
     assert_eq!(LeadershipRecord::decode(&earlier), Some(whole));
     assert_eq!(LeadershipRecord::decode(&earlier[..3]), None);
@@ -242,7 +245,7 @@
     let mut loops = Vec::new();
     for number in 0..entries {
         let node = node_with(SiteSettings { peer: address(number), ..site_settings() });
-        node.set_replicas(&list, list.has(address(number)));
+        node.set_replicas(&list, list.contains(address(number)));
         let (tail, copy) = (TailReader::new(LogTopic::Jobs), node.copy());
         let mut follower = JobFollower { node, log: log.clone(), tail, copy };
         loops.push(tokio::spawn(async move {
@@ -298,7 +301,7 @@
     node.set_replicas(&ReplicaList::default(), true);
     log.0.notify_one();
     reading.await.expect("no panic");
-    assert!(!node.has_copy() && node.book_end() == 0);
+    assert!(!node.has_replica() && node.book_end() == 0);
     assert!(node.book().get(job_id(1)).is_none());
 }
 
--- a/tests/view_model.rs
+++ b/tests/revocation_model.rs
@@ -68,8 +68,8 @@
         now * self.rate / 1_000
     }
 
-    fn honours(&self, now: u64) -> bool {
-        !self.is_revoked && RULE.honours(self.shown, self.clock(now))
+    fn may_honour(&self, now: u64) -> bool {
+        !self.is_revoked && RULE.may_honour(self.shown, self.clock(now))
     }
 }
 
@@ -205,17 +205,17 @@
     /// A caller with the key sends a request: its head, and after a while its last byte.
     fn call(&mut self, position: usize, now: u64) {
         let last_byte = now + self.delay();
-        let honours = self.entries[position].honours(now);
+        let may_honour = self.entries[position].may_honour(now);
         let entry = &mut self.entries[position];
         let Some(sent) = entry.request else {
-            entry.request = honours.then_some(last_byte);
+            entry.request = may_honour.then_some(last_byte);
             return;
         };
         if now < sent {
             return;
         }
         entry.request = None;
-        let is_served = self.without == Without::SecondLook || honours;
+        let is_served = self.without == Without::SecondLook || may_honour;
         if is_served && sent > self.revoked_at + RULE.bound_ms {
             let late = sent - self.revoked_at;
             self.broken = Some(format!("served {late} ms after the revocation: {entry:?}"));
--- a/tests/scheduler_behind.rs
+++ b/tests/scheduler_behind.rs
@@ -120,7 +120,7 @@
 fn no_more_is_placed_than_goes_out_soon() {
     let mut sim = SchedulerSim::open(config(), workers(20));
     sim.is_lane_held = true;
-    sim.scheduler.set_pace(FlowPace { starts_max: Some(16), line_ms: 200 });
+    sim.scheduler.set_pace(FlowPace { starts_max: Some(16), queue_delay_ms: 200 });
     sim.submit(1, job(vec![step(100)]));
     assert_eq!(sim.scheduler.stats().runs, 16);
     sim.empty_lanes();
@@ -137,8 +137,8 @@
 fn renewals_are_fewer_and_more_patient_on_a_choked_link() {
     let mut sim = SchedulerSim::open(config(), workers(1));
     sim.submit(1, job(vec![step(1)]));
-    let mut plan = |line_ms| {
-        sim.scheduler.set_pace(FlowPace { starts_max: None, line_ms });
+    let mut plan = |queue_delay_ms| {
+        sim.scheduler.set_pace(FlowPace { starts_max: None, queue_delay_ms });
         sim.now += 1_000;
         match sim.scheduler.renew_plan(&"w0".into(), sim.now) {
             RenewPlan::Call(_, call, patience) => (call.wait, patience),
--- a/tests/scheduler_caps.rs
+++ b/tests/scheduler_caps.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ibisweir::decide::access::{AccessBook, OrganisationSpec};
+use ibisweir::decide::access::{AccessTable, OrganisationSpec};
 use ibisweir::jobs::model::{
     ExitKind, JobId, JobSpec, JobSubmission, ResourceVector, StepSpec, TaskKey,
 };
@@ -29,7 +29,7 @@
         weight: 1.0,
         cap: cpu(*cap),
     });
-    let access = Some(AccessBook::from(organisations.collect::<Vec<_>>()));
+    let access = Some(AccessTable::from(organisations.collect::<Vec<_>>()));
     SiteConfig { version, access, ..config() }
 }
 
@@ -160,7 +160,7 @@
     let mut config = capped(1, &[("east", 0), ("west", 0)]);
     let access = config.access.take().expect("organisations");
     let shared = access.iter().map(|spec| OrganisationSpec { weight: 2.0, ..spec.clone() });
-    config.access = Some(AccessBook::from(shared.collect::<Vec<_>>()));
+    config.access = Some(AccessTable::from(shared.collect::<Vec<_>>()));
     let mut sim = SchedulerSim::open(config, workers(1));
     let busy = hand_in(&mut sim, 1, None, job(vec![step(8)]));
     let flood: Vec<JobId> =
--- a/tests/scheduler_vms.rs
+++ b/tests/scheduler_vms.rs
@@ -22,8 +22,8 @@
 }
 
 /// The VM of `pool`, and a second one in pool `place` with this worker on it.
-fn listed(pool: &WorkerEntry, place: &str, life: &str) -> Vec<VmEntry> {
-    let second = vm(&worker(life, "r9"), place);
+fn listed(pool: &WorkerEntry, place: &str, incarnation: &str) -> Vec<VmEntry> {
+    let second = vm(&worker(incarnation, "r9"), place);
     vec![vm(pool, POOL), VmEntry { vm: "s0".into(), ..second }]
 }
 
@@ -76,8 +76,8 @@
 fn a_repeat_waits_until_the_vm_is_empty_again() {
     let entries = vec![worker("w0", "r0"), worker("w1", "r0")];
     let mut sim = SchedulerSim::open(config(), entries.clone());
-    let both = |state, life: &str| -> Vec<VmEntry> {
-        let second = VmEntry { state, worker: life.into(), ..vm(&entries[1], POOL) };
+    let both = |state, incarnation: &str| -> Vec<VmEntry> {
+        let second = VmEntry { state, worker: incarnation.into(), ..vm(&entries[1], POOL) };
         vec![vm(&entries[0], POOL), second]
     };
     sim.vm_outcome = VmOutcome::Unknown;
@@ -85,9 +85,9 @@
     sim.advance(2_000);
     let given: Vec<VmCommand> = sim.vm_commands.clone();
     let Some(VmCommand::Assign { vm: given, .. }) = given.first() else { panic!("{given:?}") };
-    let life: Arc<str> = given.trim_start_matches("m-").into();
-    sim.workers.remove(&life);
-    sim.scheduler.worker_unlisted(&life, sim.now);
+    let incarnation: Arc<str> = given.trim_start_matches("m-").into();
+    sim.workers.remove(&incarnation);
+    sim.scheduler.worker_unlisted(&incarnation, sim.now);
     let fresh = worker("w2", "r0");
     sim.workers.insert(fresh.id.clone(), Default::default());
     sim.scheduler.worker_seen(fresh.clone(), sim.now);
@@ -96,7 +96,7 @@
     assert!(!sim.workers["w2"].running.is_empty(), "the new life took tasks");
     let shown: Vec<VmEntry> = entries
         .iter()
-        .map(|entry| match entry.id == life {
+        .map(|entry| match entry.id == incarnation {
             true => VmEntry { worker: fresh.id.clone(), ..vm(entry, POOL) },
             false => vm(entry, POOL),
         })
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -9,7 +9,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd, RENEWAL_MS, SILENCE_MS};
+use ibisweir::decide::leadership::{
+    PredecessorEnd, PreviousLeader, RENEWAL_INTERVAL_MS, RENEWAL_TIMEOUT_MS,
+};
 use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{ExitKind, TaskKey};
 use ibisweir::jobs::ports::{
@@ -438,7 +440,7 @@
             leader.scheduler.workers_read(now);
             leader.scheduler.jobs_read(now);
             if now >= leader.renew_ms {
-                leader.renew_ms = now + RENEWAL_MS;
+                leader.renew_ms = now + RENEWAL_INTERVAL_MS;
                 leader.scheduler.confirm(now);
                 self.renewed_ms = now;
             }
@@ -662,8 +664,8 @@
             return;
         }
         let quiet_ms = self.now - self.renewed_ms;
-        if term > 1 && quiet_ms < SILENCE_MS {
-            self.later(SILENCE_MS - quiet_ms, ModelEvent::Claim(term));
+        if term > 1 && quiet_ms < RENEWAL_TIMEOUT_MS {
+            self.later(RENEWAL_TIMEOUT_MS - quiet_ms, ModelEvent::Claim(term));
             return;
         }
         self.claimed = term;
@@ -681,7 +683,7 @@
             term,
             bounds: bounds(),
             config: Arc::new(one_pool()),
-            predecessor: (term > 1).then_some(LeaderTrace { seen_ms, end }),
+            predecessor: (term > 1).then_some(PreviousLeader { seen_ms, end }),
             confirmed_ms: self.now,
             jobs_read_ms: self.now,
             workers_read_ms: self.now,
--- a/tests/start_deadline.rs
+++ b/tests/start_deadline.rs
@@ -96,7 +96,7 @@
         checkpoint: call.checkpoint.clone(),
         permit: call.permit.clone(),
     };
-    let stamp = ExecutorStamp { life: node.life, sent_ms: node.now() };
+    let stamp = ExecutorStamp { incarnation: node.incarnation, sent_ms: node.now() };
     let batch = StartBatch { stamp, starts: sent.iter().map(delegated).collect() };
     let body = postcard::to_stdvec(&batch).expect("plain values");
     carry_out(&node, &workers, &body).await.expect("it can be read");
