--- a/tests/support/cancel_callers.rs
+++ b/tests/support/cancel_callers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use ibisweir::decide::access::CallerMark;
+use ibisweir::decide::access::OrganisationDigest;
 use ibisweir::jobs::follower::{TailStep, fold_step};
 use ibisweir::jobs::model::{JobId, StepSpec};
 use ibisweir::jobs::record::JobRecord;
@@ -53,66 +53,66 @@
 impl CancelSite {
     /// A caller hands a job in: `CallerService::submit`.
     pub fn submit(&mut self, entry: usize, number: u64, steps: Vec<StepSpec>) {
-        let (id, life) = (job_id(number), self.life(entry));
+        let (id, incarnation) = (job_id(number), self.incarnation(entry));
         self.tell(id, format!("handed to entry {entry}"));
-        self.at_entry(0, life, move |site| {
-            if KnownJob::find(&site.node(life), id).is_some() {
+        self.at_entry(0, incarnation, move |site| {
+            if KnownJob::find(&site.node(incarnation), id).is_some() {
                 return;
             }
             site.tell(id, format!("taken by entry {entry}"));
             let record = JobRecord::Submitted(id, Arc::new(submission(job(steps))));
-            site.store(life, record);
+            site.store(incarnation, record);
         });
     }
 
     /// A caller cancels a job: `CallerService::cancel`.
     pub fn cancel(&mut self, entry: usize, id: JobId) {
-        let life = self.life(entry);
-        self.at_entry(0, life, move |site| {
+        let incarnation = self.incarnation(entry);
+        self.at_entry(0, incarnation, move |site| {
             site.tell(id, format!("cancelled at entry {entry}"));
-            if !site.cancel_known(life, id) {
-                site.catch_up(life, id);
+            if !site.cancel_known(incarnation, id) {
+                site.catch_up(incarnation, id);
             }
         });
     }
 
     /// Cancels a job that the entry knows; false if it doesn't.
-    fn cancel_known(&mut self, life: EntryLife, id: JobId) -> bool {
-        let Some(known) = KnownJob::find(&self.node(life), id) else { return false };
+    fn cancel_known(&mut self, incarnation: EntryLife, id: JobId) -> bool {
+        let Some(known) = KnownJob::find(&self.node(incarnation), id) else { return false };
         match known.state.is_final() {
-            true => self.acknowledge(id, life, "it is over"),
-            false => self.store(life, JobRecord::Cancelled(id)),
+            true => self.acknowledge(id, incarnation, "it is over"),
+            false => self.store(incarnation, JobRecord::Cancelled(id)),
         }
         true
     }
 
     /// Reads the log to its end for a caller: `CatchUpReader::read_to_end`.
-    fn catch_up(&mut self, life: EntryLife, id: JobId) {
-        if !self.entries[life.0].reaches_log {
+    fn catch_up(&mut self, incarnation: EntryLife, id: JobId) {
+        if !self.entries[incarnation.0].reaches_log {
             return;
         }
-        let from = self.node(life).book_end();
+        let from = self.node(incarnation).book_end();
         let Some(batch) = self.log.read(from) else { return };
-        let reads_ms = self.entries[life.0].reads_ms.clone();
+        let reads_ms = self.entries[incarnation.0].reads_ms.clone();
         let ms = self.draw(&reads_ms).min(CATCH_UP_MS);
         if ms == CATCH_UP_MS {
             return;
         }
-        self.at_entry(ms, life, move |site| {
-            fold_step(&site.node(life), TailStep::Records(batch.records), batch.next);
-            if !site.cancel_known(life, id) {
-                let mark = CallerMark::of(None);
+        self.at_entry(ms, incarnation, move |site| {
+            fold_step(&site.node(incarnation), TailStep::Records(batch.records), batch.next);
+            if !site.cancel_known(incarnation, id) {
+                let mark = OrganisationDigest::of(None);
                 let record = match site.needs_keys {
                     true => JobRecord::CancelledBy(id, mark),
                     false => JobRecord::Cancelled(id),
                 };
-                site.store(life, record);
+                site.store(incarnation, record);
             }
         });
     }
 
-    fn acknowledge(&mut self, id: JobId, life: EntryLife, how: &str) {
-        self.tell(id, format!("cancellation acknowledged by entry {}: {how}", life.0));
+    fn acknowledge(&mut self, id: JobId, incarnation: EntryLife, how: &str) {
+        self.tell(id, format!("cancellation acknowledged by entry {}: {how}", incarnation.0));
         let now = self.now;
         self.jobs.entry(id).or_default().acknowledged_ms.get_or_insert(now);
     }
@@ -133,7 +133,7 @@
             return;
         };
         let relay_ms = self.delays.relay_ms.clone();
-        let (ms, to) = (self.draw(&relay_ms), self.life(leader));
+        let (ms, to) = (self.draw(&relay_ms), self.incarnation(leader));
         let (relayed, late) = (request.clone(), request.clone());
         self.at_entry(ms, to, move |site| {
             if !site.take(to, &relayed) {
--- a/tests/support/cancel_leader.rs
+++ b/tests/support/cancel_leader.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ibisweir::decide::leadership::LeaderTrace;
+use ibisweir::decide::leadership::PreviousLeader;
 use ibisweir::jobs::delegate::{DelegatedStart, StartBatch, StartOrder, carry_out};
 use ibisweir::jobs::follower::{TailStep, fold_step};
 use ibisweir::jobs::model::{ExitKind, TaskKey};
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy)]
 struct SiteTakeover {
     term: u64,
-    predecessor: Option<LeaderTrace>,
+    predecessor: Option<PreviousLeader>,
     /// End of the log that earlier leaders have written.
     end: u64,
     /// When the append that shut them out was sent, by the entry's clock, in milliseconds.
@@ -53,30 +53,36 @@
 
 impl CancelSite {
     /// Shuts earlier leaders out: `LeaderRun::raise_epoch`.
-    pub fn lead(&mut self, life: EntryLife, term: u64, predecessor: Option<LeaderTrace>) {
-        if self.entries[life.0].term != Some(term) || self.log.epoch > term {
+    pub fn lead(&mut self, incarnation: EntryLife, term: u64, predecessor: Option<PreviousLeader>) {
+        if self.entries[incarnation.0].term != Some(term) || self.log.epoch > term {
             return;
         }
-        if !self.entries[life.0].reaches_log {
-            self.at_entry(REPEAT_MS, life, move |site| site.lead(life, term, predecessor));
+        if !self.entries[incarnation.0].reaches_log {
+            self.at_entry(REPEAT_MS, incarnation, move |site| {
+                site.lead(incarnation, term, predecessor)
+            });
             return;
         }
         self.log.epoch = term;
-        let takeover =
-            SiteTakeover { term, predecessor, end: self.log.end, raised_ms: self.node(life).now() };
-        self.read_through(life, takeover);
+        let takeover = SiteTakeover {
+            term,
+            predecessor,
+            end: self.log.end,
+            raised_ms: self.node(incarnation).now(),
+        };
+        self.read_through(incarnation, takeover);
     }
 
     /// Reads what earlier leaders wrote, and the workers: `LeaderRun::read_through`, `first_workers`.
-    fn read_through(&mut self, life: EntryLife, takeover: SiteTakeover) {
-        if self.entries[life.0].term != Some(takeover.term) {
+    fn read_through(&mut self, incarnation: EntryLife, takeover: SiteTakeover) {
+        if self.entries[incarnation.0].term != Some(takeover.term) {
             return;
         }
         let takeover_ms = self.delays.takeover_ms.clone();
         let ms = self.draw(&takeover_ms);
-        let node = self.node(life);
+        let node = self.node(incarnation);
         if node.book_end() >= takeover.end {
-            self.at_entry(ms, life, move |site| site.install(life, takeover));
+            self.at_entry(ms, incarnation, move |site| site.install(incarnation, takeover));
             return;
         }
         let from = node.book_end();
@@ -84,25 +90,25 @@
             Some(batch) => (TailStep::Records(batch.records), batch.next),
             None => (TailStep::Snapshot(self.log.newest()), self.log.end),
         };
-        self.at_entry(ms, life, move |site| {
+        self.at_entry(ms, incarnation, move |site| {
             fold_step(&node, step.0, step.1);
-            site.read_through(life, takeover);
+            site.read_through(incarnation, takeover);
         });
     }
 
     /// Opens the scheduler: `LeaderRun::install`.
-    fn install(&mut self, life: EntryLife, takeover: SiteTakeover) {
+    fn install(&mut self, incarnation: EntryLife, takeover: SiteTakeover) {
         let SiteTakeover { term, predecessor, raised_ms, .. } = takeover;
-        if self.entries[life.0].term != Some(term) {
+        if self.entries[incarnation.0].term != Some(term) {
             return;
         }
-        let node = self.node(life);
+        let node = self.node(incarnation);
         let start = SchedulerStart {
             term,
             bounds: bounds(),
             config: Arc::new(one_pool()),
             predecessor,
-            confirmed_ms: self.entries[life.0].confirmed_ms.max(raised_ms),
+            confirmed_ms: self.entries[incarnation.0].confirmed_ms.max(raised_ms),
             jobs_read_ms: raised_ms.max(node.jobs_ms()),
             workers_read_ms: raised_ms,
             now: node.now(),
@@ -113,32 +119,32 @@
         let listed = self.workers.iter().map(|worker| worker.entry.clone()).collect();
         scheduler.workers_listed(listed, now);
         node.set_scheduler(Some(scheduler));
-        self.entries[life.0].is_committing = false;
-        self.entries[life.0].renewing.clear();
+        self.entries[incarnation.0].is_committing = false;
+        self.entries[incarnation.0].renewing.clear();
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
-            self.tell(id, format!("entry {} leads, term {term}", life.0));
+            self.tell(id, format!("entry {} leads, term {term}", incarnation.0));
         }
-        self.turn(life, term);
+        self.turn(incarnation, term);
     }
 
-    fn leads(&self, life: EntryLife, term: u64) -> bool {
-        let own = self.node(life).with_scheduler(|scheduler| scheduler.term());
-        own == Some(term) && self.entries[life.0].term == Some(term)
+    fn leads(&self, incarnation: EntryLife, term: u64) -> bool {
+        let own = self.node(incarnation).with_scheduler(|scheduler| scheduler.term());
+        own == Some(term) && self.entries[incarnation.0].term == Some(term)
     }
 
     /// Ends a leadership: `LeadershipLoop::step_down`.
-    pub fn step_down(&mut self, life: EntryLife) {
-        self.entries[life.0].term = None;
-        self.node(life).set_scheduler(None);
-        self.answer_taken(life);
+    pub fn step_down(&mut self, incarnation: EntryLife) {
+        self.entries[incarnation.0].term = None;
+        self.node(incarnation).set_scheduler(None);
+        self.answer_taken(incarnation);
     }
 
     /// A turn of a leader: `LeaderRun::drive`.
-    fn turn(&mut self, life: EntryLife, term: u64) {
-        if !self.leads(life, term) {
+    fn turn(&mut self, incarnation: EntryLife, term: u64) {
+        if !self.leads(incarnation, term) {
             return;
         }
-        let node = self.node(life);
+        let node = self.node(incarnation);
         let (now, wall_ms) = (node.now(), WALL_OFFSET_MS + self.now);
         let turn = node.with_scheduler(|scheduler| {
             scheduler.workers_read(now);
@@ -147,7 +153,7 @@
         });
         let Some((actions, is_deposed)) = turn else { return };
         if is_deposed {
-            self.step_down(life);
+            self.step_down(incarnation);
             return;
         }
         for action in actions {
@@ -155,57 +161,57 @@
                 SchedulerAction::SendCommand(target, task, run) => {
                     let lane_ms = self.delays.lane_ms.clone();
                     let ms = self.draw(&lane_ms);
-                    self.at_entry(ms, life, move |site| {
-                        site.send_run(life, term, &target, task, run)
+                    self.at_entry(ms, incarnation, move |site| {
+                        site.send_run(incarnation, term, &target, task, run)
                     });
                 }
                 SchedulerAction::StopUntracked(target, call) => {
-                    self.send_stop(life, term, &target, call)
+                    self.send_stop(incarnation, term, &target, call)
                 }
                 _ => {}
             }
         }
-        self.commit(life, term);
+        self.commit(incarnation, term);
         for position in 0..self.workers.len() {
             let id = self.workers[position].entry.id.clone();
-            self.renew(life, term, &id);
+            self.renew(incarnation, term, &id);
         }
-        self.at_entry(TURN_MS, life, move |site| site.turn(life, term));
+        self.at_entry(TURN_MS, incarnation, move |site| site.turn(incarnation, term));
     }
 
     /// Commits what the scheduler has decided: `LeaderRun::commit`.
-    fn commit(&mut self, life: EntryLife, term: u64) {
-        if self.entries[life.0].is_committing {
+    fn commit(&mut self, incarnation: EntryLife, term: u64) {
+        if self.entries[incarnation.0].is_committing {
             return;
         }
-        let node = self.node(life);
+        let node = self.node(incarnation);
         let Some(batch) = node.with_scheduler(Scheduler::take_commit).flatten() else { return };
-        self.entries[life.0].is_committing = true;
+        self.entries[incarnation.0].is_committing = true;
         let sent_ms = node.now();
-        self.send_commit(life, term, batch, sent_ms);
+        self.send_commit(incarnation, term, batch, sent_ms);
     }
 
-    fn send_commit(&mut self, life: EntryLife, term: u64, batch: CommitBatch, sent_ms: u64) {
+    fn send_commit(&mut self, incarnation: EntryLife, term: u64, batch: CommitBatch, sent_ms: u64) {
         let commit_ms = self.delays.commit_ms.clone();
         let ms = self.draw(&commit_ms);
         self.later(ms, move |site| {
-            if !site.entries[life.0].reaches_log {
-                site.at_entry(REPEAT_MS, life, move |site| {
-                    if site.leads(life, term) {
-                        site.send_commit(life, term, batch, sent_ms);
+            if !site.entries[incarnation.0].reaches_log {
+                site.at_entry(REPEAT_MS, incarnation, move |site| {
+                    if site.leads(incarnation, term) {
+                        site.send_commit(incarnation, term, batch, sent_ms);
                     }
                 });
             } else if site.log.epoch > term {
-                site.at_entry(HOP_MS, life, move |site| {
-                    if site.leads(life, term) {
-                        site.node(life).with_scheduler(Scheduler::depose);
+                site.at_entry(HOP_MS, incarnation, move |site| {
+                    if site.leads(incarnation, term) {
+                        site.node(incarnation).with_scheduler(Scheduler::depose);
                     }
                 });
             } else {
                 let offset = site.log.append(batch.records.clone());
                 let end = site.log.end;
-                site.at_entry(HOP_MS, life, move |site| {
-                    site.committed(life, term, &batch, sent_ms, (offset, end));
+                site.at_entry(HOP_MS, incarnation, move |site| {
+                    site.committed(incarnation, term, &batch, sent_ms, (offset, end));
                 });
             }
         });
@@ -214,48 +220,48 @@
     /// An append is on the log: `LeaderRun::commit_batch`.
     fn committed(
         &mut self,
-        life: EntryLife,
+        incarnation: EntryLife,
         term: u64,
         batch: &CommitBatch,
         sent_ms: u64,
         (offset, end): (u64, u64),
     ) {
-        if !self.leads(life, term) {
+        if !self.leads(incarnation, term) {
             return;
         }
-        let node = self.node(life);
+        let node = self.node(incarnation);
         if !batch.records.is_empty() && node.fold_own(&batch.decoded, offset, end) {
             node.jobs_shown(sent_ms);
         }
         let now = node.now();
         node.with_scheduler(|scheduler| scheduler.committed(batch, now));
         node.relayed(&batch.relayed);
-        self.entries[life.0].is_committing = false;
-        self.answer_taken(life);
+        self.entries[incarnation.0].is_committing = false;
+        self.answer_taken(incarnation);
     }
 
     /// Sends what a run needs when its turn has come: `WorkerLanes::send_run`.
     fn send_run(
         &mut self,
-        life: EntryLife,
+        incarnation: EntryLife,
         term: u64,
         target: &WorkerTarget,
         task: TaskKey,
         run: u32,
     ) {
-        if !self.leads(life, term) {
+        if !self.leads(incarnation, term) {
             return;
         }
-        let node = self.node(life);
+        let node = self.node(incarnation);
         let now = node.now();
         let command = node.with_scheduler(|scheduler| scheduler.command(&task, run, now));
         match command.flatten() {
-            Some(RunCommand::Stop(call)) => self.send_stop(life, term, target, call),
+            Some(RunCommand::Stop(call)) => self.send_stop(incarnation, term, target, call),
             Some(RunCommand::Start(call)) => {
-                if self.happens(self.delegated) && node.executors().has_room(now) {
-                    self.hand_on(life, target, call);
+                if self.happens(self.delegated) && node.executors().has_capacity(now) {
+                    self.hand_on(incarnation, target, call);
                 } else {
-                    self.send_start(life, life, target, call);
+                    self.send_start(incarnation, incarnation, target, call);
                 }
             }
             None => {}
@@ -309,16 +315,16 @@
     }
 
     /// Hands a start to an executor: `StartDelegate::hand_on`.
-    fn hand_on(&mut self, life: EntryLife, target: &WorkerTarget, call: StartCall) {
-        let node = self.node(life);
+    fn hand_on(&mut self, incarnation: EntryLife, target: &WorkerTarget, call: StartCall) {
+        let node = self.node(incarnation);
         let now = node.now();
         let picked = {
             let mut executors = node.executors();
             let address = executors.pick("", now);
-            address.and_then(|address| Some((address, executors.begin(address, 1, now)?)))
+            address.and_then(|address| Some((address, executors.begin_batch(address, 1, now)?)))
         };
         let Some((address, stamp)) = picked else { return };
-        let executor = self.life(usize::from(address.port()) - 1);
+        let executor = self.incarnation(usize::from(address.port()) - 1);
         let starts = vec![DelegatedStart {
             worker: target.id.clone(),
             address: target.address,
@@ -339,15 +345,15 @@
         let sent_ms = self.now;
         self.push(
             ms,
-            SiteEvent::Orders(executor, StartOrders { leader: life, body, orders, sent_ms }),
+            SiteEvent::Orders(executor, StartOrders { leader: incarnation, body, orders, sent_ms }),
         );
         let is_answered = ms < BATCH_PATIENCE_MS;
         let id = target.id.clone();
-        self.at_entry(ms.min(BATCH_PATIENCE_MS), life, move |site| {
-            let node = site.node(life);
-            node.executors().end(address, 1, is_answered, node.now());
+        self.at_entry(ms.min(BATCH_PATIENCE_MS), incarnation, move |site| {
+            let node = site.node(incarnation);
+            node.executors().end_batch(address, 1, is_answered, node.now());
             if !is_answered {
-                site.tell_started(life, id, task, run, CommandOutcome::Unknown);
+                site.tell_started(incarnation, id, task, run, CommandOutcome::Unknown);
             }
         });
     }
@@ -376,7 +382,13 @@
         }
     }
 
-    fn send_stop(&mut self, life: EntryLife, term: u64, target: &WorkerTarget, call: RunCall) {
+    fn send_stop(
+        &mut self,
+        incarnation: EntryLife,
+        term: u64,
+        target: &WorkerTarget,
+        call: RunCall,
+    ) {
         let id = target.id.clone();
         self.tell(call.task.job, format!("stop of {}/{} sent", call.task, call.run));
         if self.happens(self.lost_stops) {
@@ -384,11 +396,11 @@
         }
         self.later(HOP_MS, move |site| {
             let outcome = site.stop_arrives(&id, &call);
-            site.at_entry(HOP_MS, life, move |site| {
-                if !site.leads(life, term) {
+            site.at_entry(HOP_MS, incarnation, move |site| {
+                if !site.leads(incarnation, term) {
                     return;
                 }
-                let node = site.node(life);
+                let node = site.node(incarnation);
                 let now = node.now();
                 node.with_scheduler(|scheduler| {
                     scheduler.handle_stop_outcome(&id, &call.task, call.run, &outcome, now);
@@ -476,21 +488,28 @@
     }
 
     /// Renews a worker's leases: `WorkerLanes::renew`.
-    fn renew(&mut self, life: EntryLife, term: u64, id: &Arc<str>) {
-        if self.entries[life.0].renewing.contains(id) {
+    fn renew(&mut self, incarnation: EntryLife, term: u64, id: &Arc<str>) {
+        if self.entries[incarnation.0].renewing.contains(id) {
             return;
         }
-        let node = self.node(life);
+        let node = self.node(incarnation);
         let now = node.now();
         let plan = node.with_scheduler(|scheduler| scheduler.renew_plan(id, now));
         let Some(RenewPlan::Call(target, call, patience)) = plan else { return };
-        self.entries[life.0].renewing.insert(id.clone());
+        self.entries[incarnation.0].renewing.insert(id.clone());
         let wait_ms = u64::try_from(call.wait.as_millis()).unwrap_or(0);
         let is_silent = self.position(id).is_none_or(|at| self.workers[at].body.is_silent);
         let patience_ms = u64::try_from(patience.as_millis()).unwrap_or(0);
         if is_silent {
             let ms = wait_ms + patience_ms;
-            self.tell_renewed(ms, (life, term), target.id, call, now, CommandOutcome::Unknown);
+            self.tell_renewed(
+                ms,
+                (incarnation, term),
+                target.id,
+                call,
+                now,
+                CommandOutcome::Unknown,
+            );
             return;
         }
         self.later(HOP_MS, move |site| {
@@ -507,13 +526,13 @@
                     (CommandOutcome::Done(report), true) => (CommandOutcome::Unknown, Some(report)),
                     (outcome, _) => (outcome, None),
                 };
-                let leader = (life, term);
+                let leader = (incarnation, term);
                 let id = target.id.clone();
                 site.tell_renewed(ms.min(patience_ms), leader, target.id, call, now, in_time);
                 let Some(report) = late else { return };
-                site.at_entry(ms, life, move |site| {
-                    let node = site.node(life);
-                    if site.leads(life, term) {
+                site.at_entry(ms, incarnation, move |site| {
+                    let node = site.node(incarnation);
+                    if site.leads(incarnation, term) {
                         node.with_scheduler(|scheduler| {
                             scheduler.handle_late_renewal(&id, &call, report, now, node.now());
                         });
@@ -526,22 +545,22 @@
     fn tell_renewed(
         &mut self,
         ms: u64,
-        (life, term): (EntryLife, u64),
+        (incarnation, term): (EntryLife, u64),
         id: Arc<str>,
         call: RenewCall,
         sent_ms: u64,
         outcome: CommandOutcome<WorkerReport>,
     ) {
-        self.at_entry(ms, life, move |site| {
-            if !site.leads(life, term) {
+        self.at_entry(ms, incarnation, move |site| {
+            if !site.leads(incarnation, term) {
                 return;
             }
-            let node = site.node(life);
+            let node = site.node(incarnation);
             let now = node.now();
             node.with_scheduler(|scheduler| {
                 scheduler.handle_renewal_outcome(&id, &call, outcome, sent_ms, now)
             });
-            site.entries[life.0].renewing.remove(&id);
+            site.entries[incarnation.0].renewing.remove(&id);
         });
     }
 
@@ -591,10 +610,12 @@
         worker.entry.id = incarnation_id(worker_name(&worker.entry.id), Some(started_ms));
         worker.body = SimWorker::default();
         let entry = worker.entry.clone();
-        for life in (0..self.entries.len()).map(|at| self.life(at)).collect::<Vec<_>>() {
+        for incarnation in
+            (0..self.entries.len()).map(|at| self.incarnation(at)).collect::<Vec<_>>()
+        {
             let entry = entry.clone();
-            self.at_entry(200, life, move |site| {
-                let node = site.node(life);
+            self.at_entry(200, incarnation, move |site| {
+                let node = site.node(incarnation);
                 let now = node.now();
                 node.with_scheduler(|scheduler| scheduler.worker_seen(entry, now));
             });
--- a/tests/support/cancel_site.rs
+++ b/tests/support/cancel_site.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 use ibisweir::decide::executor::ExecutorOffer;
-use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd, RENEWAL_MS, SILENCE_MS};
+use ibisweir::decide::leadership::{
+    PredecessorEnd, PreviousLeader, RENEWAL_INTERVAL_MS, RENEWAL_TIMEOUT_MS,
+};
 use ibisweir::jobs::follower::{TailStep, fold_step};
 use ibisweir::jobs::model::JobId;
 use ibisweir::jobs::node::JobNode;
@@ -34,7 +36,7 @@
 /// Time between two looks at who leads.
 const LEADER_GAP_MS: u64 = 100;
 /// Time between two offers of an executor.
-const OFFER_GAP_MS: u64 = 1_200;
+const OFFER_INTERVAL_MS: u64 = 1_200;
 /// An entry, by its position, and which of its processes.
 pub type EntryLife = (usize, u32);
 type Deed = Box<dyn FnOnce(&mut CancelSite)>;
@@ -52,7 +54,7 @@
     /// Its state.
     pub node: Arc<JobNode>,
     /// Number of its process.
-    pub life: u32,
+    pub incarnation: u32,
     /// Who leads, as far as it knows.
     pub leader: Option<usize>,
     /// The term that it holds.
@@ -206,10 +208,10 @@
         site
     }
 
-    fn begin_loops(&mut self, life: EntryLife) {
-        self.at_entry(1, life, move |site| site.follow(life));
-        self.at_entry(5, life, move |site| site.follow_leadership(life));
-        self.at_entry(300, life, move |site| site.offer(life));
+    fn begin_loops(&mut self, incarnation: EntryLife) {
+        self.at_entry(1, incarnation, move |site| site.follow(incarnation));
+        self.at_entry(5, incarnation, move |site| site.follow_leadership(incarnation));
+        self.at_entry(300, incarnation, move |site| site.offer(incarnation));
     }
 
     /// Moves the time on.
@@ -218,18 +220,18 @@
         while let Some(entry) = self.queue.first_entry().filter(|first| first.key().0 <= end) {
             let ((at, _), event) = entry.remove_entry();
             self.advance_to(at).await;
-            let life = match &event {
-                SiteEvent::Deed(life, _) => *life,
-                SiteEvent::Orders(life, _) => Some(*life),
+            let incarnation = match &event {
+                SiteEvent::Deed(incarnation, _) => *incarnation,
+                SiteEvent::Orders(incarnation, _) => Some(*incarnation),
             };
-            if life.is_some_and(|life| !self.is_present(life)) {
+            if incarnation.is_some_and(|incarnation| !self.is_present(incarnation)) {
                 continue;
             }
-            let thaw = life.map_or(0, |(entry, _)| self.entries[entry].frozen_until_ms);
+            let thaw = incarnation.map_or(0, |(entry, _)| self.entries[entry].frozen_until_ms);
             match event {
                 event if thaw > self.now => self.push(thaw - self.now, event),
                 SiteEvent::Deed(_, deed) => deed(self),
-                SiteEvent::Orders(life, orders) => self.carry_out(life, orders).await,
+                SiteEvent::Orders(incarnation, orders) => self.carry_out(incarnation, orders).await,
             }
         }
         self.advance_to(end).await;
@@ -242,8 +244,8 @@
         }
     }
 
-    fn is_present(&self, life: EntryLife) -> bool {
-        self.entries[life.0].life == life.1
+    fn is_present(&self, incarnation: EntryLife) -> bool {
+        self.entries[incarnation.0].incarnation == incarnation.1
     }
 
     /// Puts an event on the list.
@@ -261,10 +263,10 @@
     pub fn at_entry(
         &mut self,
         ms: u64,
-        life: EntryLife,
+        incarnation: EntryLife,
         deed: impl FnOnce(&mut CancelSite) + 'static,
     ) {
-        self.push(ms, SiteEvent::Deed(Some(life), Box::new(deed)));
+        self.push(ms, SiteEvent::Deed(Some(incarnation), Box::new(deed)));
     }
 
     /// A time of this range.
@@ -294,13 +296,13 @@
     }
 
     /// State of an entry.
-    pub fn node(&self, life: EntryLife) -> Arc<JobNode> {
-        self.entries[life.0].node.clone()
+    pub fn node(&self, incarnation: EntryLife) -> Arc<JobNode> {
+        self.entries[incarnation.0].node.clone()
     }
 
     /// The present process of an entry.
-    pub fn life(&self, entry: usize) -> EntryLife {
-        (entry, self.entries[entry].life)
+    pub fn incarnation(&self, entry: usize) -> EntryLife {
+        (entry, self.entries[entry].incarnation)
     }
 
     /// The entry that holds the leadership.
@@ -310,137 +312,141 @@
 
     /// An entry's process ends, and another begins that knows nothing.
     pub fn restart(&mut self, entry: usize) {
-        let life = self.entries[entry].life + 1;
-        let before = std::mem::replace(&mut self.entries[entry], open_entry(entry, life));
+        let incarnation = self.entries[entry].incarnation + 1;
+        let before = std::mem::replace(&mut self.entries[entry], open_entry(entry, incarnation));
         let SiteEntry { reads_ms, appends_ms, reaches_leader, reaches_log, .. } = before;
         let next = &mut self.entries[entry];
         (next.reads_ms, next.appends_ms) = (reads_ms, appends_ms);
         (next.reaches_leader, next.reaches_log) = (reaches_leader, reaches_log);
-        self.begin_loops((entry, life));
+        self.begin_loops((entry, incarnation));
     }
 
     /// Follows the job log: `JobFollower::step`.
-    fn follow(&mut self, life: EntryLife) {
-        let node = self.node(life);
-        if node.is_sole_writer() || !self.entries[life.0].reaches_log {
-            self.at_entry(LEADER_GAP_MS, life, move |site| site.follow(life));
+    fn follow(&mut self, incarnation: EntryLife) {
+        let node = self.node(incarnation);
+        if node.is_sole_writer() || !self.entries[incarnation.0].reaches_log {
+            self.at_entry(LEADER_GAP_MS, incarnation, move |site| site.follow(incarnation));
             return;
         }
-        let reads_ms = self.entries[life.0].reads_ms.clone();
-        let Some(position) = self.entries[life.0].position else {
+        let reads_ms = self.entries[incarnation.0].reads_ms.clone();
+        let Some(position) = self.entries[incarnation.0].position else {
             let (records, end) = (self.log.newest(), self.log.end);
             let ms = self.draw(&reads_ms);
-            self.at_entry(ms, life, move |site| {
+            self.at_entry(ms, incarnation, move |site| {
                 fold_step(&node, TailStep::Snapshot(records), end);
                 node.set_loaded();
-                site.entries[life.0].position = Some(end);
-                site.follow(life);
+                site.entries[incarnation.0].position = Some(end);
+                site.follow(incarnation);
             });
             return;
         };
         let from = position.max(node.book_end());
-        self.entries[life.0].position = Some(from);
+        self.entries[incarnation.0].position = Some(from);
         let (sent_ms, until) = (node.now(), self.now + READ_WAIT_MS);
-        self.wait_for_records(life, from, sent_ms, until);
+        self.wait_for_records(incarnation, from, sent_ms, until);
     }
 
-    fn wait_for_records(&mut self, life: EntryLife, from: u64, sent_ms: u64, until: u64) {
-        let reads_ms = self.entries[life.0].reads_ms.clone();
+    fn wait_for_records(&mut self, incarnation: EntryLife, from: u64, sent_ms: u64, until: u64) {
+        let reads_ms = self.entries[incarnation.0].reads_ms.clone();
         let ms = self.draw(&reads_ms);
         match self.log.read(from) {
             None => {
-                self.entries[life.0].position = None;
-                self.at_entry(ms, life, move |site| site.follow(life));
+                self.entries[incarnation.0].position = None;
+                self.at_entry(ms, incarnation, move |site| site.follow(incarnation));
             }
             Some(batch) if batch.records.is_empty() && self.now < until => {
-                self.later(10, move |site| site.wait_for_records(life, from, sent_ms, until));
+                self.later(10, move |site| {
+                    site.wait_for_records(incarnation, from, sent_ms, until)
+                });
             }
             Some(batch) => {
-                self.at_entry(ms, life, move |site| site.take_read(life, batch, sent_ms));
+                self.at_entry(ms, incarnation, move |site| {
+                    site.take_read(incarnation, batch, sent_ms)
+                });
             }
         }
     }
 
-    fn take_read(&mut self, life: EntryLife, batch: LogBatch, sent_ms: u64) {
-        let node = self.node(life);
+    fn take_read(&mut self, incarnation: EntryLife, batch: LogBatch, sent_ms: u64) {
+        let node = self.node(incarnation);
         let is_empty = batch.records.is_empty();
-        if self.entries[life.0].reaches_log {
-            let position = self.entries[life.0].position.unwrap_or(0).max(batch.next);
-            self.entries[life.0].position = Some(position);
+        if self.entries[incarnation.0].reaches_log {
+            let position = self.entries[incarnation.0].position.unwrap_or(0).max(batch.next);
+            self.entries[incarnation.0].position = Some(position);
             fold_step(&node, TailStep::Records(batch.records), position);
             node.set_current();
             let waited_ms = if is_empty { READ_WAIT_MS } else { 0 };
             node.jobs_shown(node.now().min(sent_ms + waited_ms));
         }
         let pause_ms = if is_empty { 1 } else { FOLLOW_GAP_MS };
-        self.at_entry(pause_ms, life, move |site| site.follow(life));
+        self.at_entry(pause_ms, incarnation, move |site| site.follow(incarnation));
     }
 
     /// Follows who leads, claims when nobody does, and renews: `LeadershipLoop::step`.
-    fn follow_leadership(&mut self, life: EntryLife) {
+    fn follow_leadership(&mut self, incarnation: EntryLife) {
         let mut gap_ms = LEADER_GAP_MS;
-        let (node, entry) = (self.node(life), &self.entries[life.0]);
+        let (node, entry) = (self.node(incarnation), &self.entries[incarnation.0]);
         if entry.reaches_log {
-            let is_holder = self.holder == Some(life);
-            let is_free =
-                self.holder.is_none() || self.now > self.renewed_ms + SILENCE_MS && !is_holder;
+            let is_holder = self.holder == Some(incarnation);
+            let is_free = self.holder.is_none()
+                || self.now > self.renewed_ms + RENEWAL_TIMEOUT_MS && !is_holder;
             if is_holder && entry.term.is_some() {
                 let sent_ms = node.now();
                 self.renewed_ms = self.now;
-                gap_ms = RENEWAL_MS;
-                self.at_entry(HOP_MS, life, move |site| {
-                    site.entries[life.0].confirmed_ms = sent_ms;
+                gap_ms = RENEWAL_INTERVAL_MS;
+                self.at_entry(HOP_MS, incarnation, move |site| {
+                    site.entries[incarnation.0].confirmed_ms = sent_ms;
                     node.with_scheduler(|scheduler| scheduler.confirm(sent_ms));
                 });
             } else if entry.term.is_some() {
-                self.step_down(life);
+                self.step_down(incarnation);
             } else if (is_free || is_holder) && node.may_lead() {
-                self.claim(life);
+                self.claim(incarnation);
             }
-            self.entries[life.0].leader = self.leader();
+            self.entries[incarnation.0].leader = self.leader();
         }
-        self.at_entry(gap_ms, life, move |site| site.follow_leadership(life));
+        self.at_entry(gap_ms, incarnation, move |site| site.follow_leadership(incarnation));
     }
 
-    fn claim(&mut self, life: EntryLife) {
-        let node = self.node(life);
+    fn claim(&mut self, incarnation: EntryLife) {
+        let node = self.node(incarnation);
         let seen_ms = node.now().saturating_sub(self.now - self.renewed_ms);
         let predecessor =
-            self.holder.map(|_| LeaderTrace { seen_ms, end: PredecessorEnd::Unknown });
+            self.holder.map(|_| PreviousLeader { seen_ms, end: PredecessorEnd::Unknown });
         self.holder_term += 1;
         let term = self.holder_term;
-        (self.holder, self.renewed_ms) = (Some(life), self.now);
-        self.entries[life.0].term = Some(term);
+        (self.holder, self.renewed_ms) = (Some(incarnation), self.now);
+        self.entries[incarnation.0].term = Some(term);
         let ids: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in ids {
-            self.tell(id, format!("entry {} claims, term {term}", life.0));
+            self.tell(id, format!("entry {} claims, term {term}", incarnation.0));
         }
-        self.at_entry(HOP_MS, life, move |site| site.lead(life, term, predecessor));
+        self.at_entry(HOP_MS, incarnation, move |site| site.lead(incarnation, term, predecessor));
     }
 
     /// Offers an entry as executor: `OfferLoop::step` and `take_offer`.
-    fn offer(&mut self, life: EntryLife) {
-        let node = self.node(life);
-        let leader = self.entries[life.0].leader.filter(|leader| *leader != life.0);
-        if let Some(leader) = leader.filter(|_| self.entries[life.0].reaches_leader) {
+    fn offer(&mut self, incarnation: EntryLife) {
+        let node = self.node(incarnation);
+        let leader = self.entries[incarnation.0].leader.filter(|leader| *leader != incarnation.0);
+        if let Some(leader) = leader.filter(|_| self.entries[incarnation.0].reaches_leader) {
             let offer = ExecutorOffer {
                 address: node.settings.peer,
-                life: node.life,
+                incarnation: node.incarnation,
                 centre: node.settings.centre.clone(),
                 processor: node.settings.processor,
                 clock_ms: node.now(),
                 claim_delay_ms: 0,
-                has_copy: true,
+                has_replica: true,
             };
-            let to = self.life(leader);
+            let to = self.incarnation(leader);
             self.at_entry(HOP_MS, to, move |site| {
                 let node = site.node(to);
                 if node.with_scheduler(|_| ()).is_some() {
-                    node.executors().heard(offer, node.now());
+                    node.executors().record_offer(offer, node.now());
                 }
             });
         }
-        self.at_entry(OFFER_GAP_MS, life, move |site| site.offer(life));
+        self.at_entry(OFFER_INTERVAL_MS, incarnation, move |site| site.offer(incarnation));
     }
 }
 
@@ -451,7 +457,7 @@
     config
 }
 
-fn open_entry(number: usize, life: u32) -> SiteEntry {
+fn open_entry(number: usize, incarnation: u32) -> SiteEntry {
     let port = u16::try_from(number + 1).expect("a few entries");
     let settings = SiteSettings {
         node: format!("front-{number}").into(),
@@ -463,7 +469,7 @@
     node.set_config(one_pool());
     SiteEntry {
         node,
-        life,
+        incarnation,
         leader: None,
         term: None,
         confirmed_ms: 0,
--- a/tests/support/fakes.rs
+++ b/tests/support/fakes.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd};
+use ibisweir::decide::leadership::{PredecessorEnd, PreviousLeader};
 use ibisweir::jobs::catch_up::CatchUpReader;
 use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::node::JobNode;
@@ -64,11 +64,11 @@
 
 /// Makes an entry the leader of term 2, after one that was seen just now and has left this on the log.
 pub fn succeed(node: &JobNode, book: &JobTable) {
-    let before = LeaderTrace { seen_ms: node.now(), end: PredecessorEnd::Unknown };
+    let before = PreviousLeader { seen_ms: node.now(), end: PredecessorEnd::Unknown };
     lead_from(node, book, 2, Some(before));
 }
 
-fn lead_from(node: &JobNode, book: &JobTable, term: u64, predecessor: Option<LeaderTrace>) {
+fn lead_from(node: &JobNode, book: &JobTable, term: u64, predecessor: Option<PreviousLeader>) {
     let start = SchedulerStart {
         term,
         bounds: bounds(),
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use ibisweir::decide::leadership::{LeaderTrace, PredecessorEnd};
+use ibisweir::decide::leadership::{PredecessorEnd, PreviousLeader};
 use ibisweir::jobs::job_table::JobTable;
 use ibisweir::jobs::model::{ExitKind, JobId, JobSpec, JobState, StepKey, TaskKey};
 use ibisweir::jobs::ports::{
@@ -169,7 +169,7 @@
     /// Another entry takes over from the log; the old leader says no more.
     pub fn take_over(&mut self, term: u64, config: SiteConfig) {
         self.watched.clear();
-        let before = LeaderTrace { seen_ms: self.now, end: self.predecessor_end };
+        let before = PreviousLeader { seen_ms: self.now, end: self.predecessor_end };
         self.scheduler = leader(term, Some(before), self.bounds, config, &self.book, self.now);
         self.list_workers();
         self.run_until_idle();
@@ -614,7 +614,7 @@
 
 fn leader(
     term: u64,
-    predecessor: Option<LeaderTrace>,
+    predecessor: Option<PreviousLeader>,
     bounds: SiteBounds,
     config: SiteConfig,
     book: &JobTable,
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -173,7 +173,7 @@
         let mut leadership = LeadershipLoop {
             node: node.clone(),
             parts,
-            own: HolderId { name: "front-1".into(), life: 1, delay_ms: 0 },
+            own: HolderId { name: "front-1".into(), incarnation: 1, delay_ms: 0 },
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -6,7 +6,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use ibisweir::decide::access::{AccessBook, CallerAccess, CallerMark, KeyDigest, OrganisationSpec};
+use ibisweir::decide::access::{
+    AccessTable, CallerAccess, KeyDigest, OrganisationDigest, OrganisationSpec,
+};
 use ibisweir::error::ResultCode;
 use ibisweir::jobs::caller_service::{CallerReply, CallerService};
 use ibisweir::jobs::catch_up::CatchUpReader;
@@ -106,7 +108,7 @@
         weight: 10.0,
         cap: ResourceVector::default(),
     };
-    let access = AccessBook::from(vec![organisation("east"), organisation("west")]);
+    let access = AccessTable::from(vec![organisation("east"), organisation("west")]);
     SiteConfig { access: Some(access), ..config() }
 }
 
@@ -238,10 +240,10 @@
 }
 
 /// A leader without a job of this id, the mark of an organisation, and its submission.
-fn sim() -> (SchedulerSim, CallerMark, JobRecord) {
+fn sim() -> (SchedulerSim, OrganisationDigest, JobRecord) {
     let sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let organisation: Arc<str> = "east".into();
-    let mark = CallerMark::of(Some(&organisation));
+    let mark = OrganisationDigest::of(Some(&organisation));
     let submission =
         JobSubmission { organisation: Some(organisation), ..submission(job(vec![step(1)])) };
     (sim, mark, JobRecord::Submitted(job_id(1), Arc::new(submission)))
@@ -251,10 +253,10 @@
 /// against one that others have cancelled.
 #[test]
 fn a_leader_goes_by_who_has_cancelled_a_job_before_it_came() {
-    let west = CallerMark::of(Some(&"west".into()));
+    let west = OrganisationDigest::of(Some(&"west".into()));
     let id = job_id(1);
     for takes_over in [false, true] {
-        for marks in [vec![west, CallerMark::of(None)], vec![self::sim().1, west]] {
+        for marks in [vec![west, OrganisationDigest::of(None)], vec![self::sim().1, west]] {
             let (mut sim, east, submitted) = sim();
             let is_cancelled = marks.contains(&east);
             for mark in &marks {
@@ -279,7 +281,7 @@
     let (mut sim, east, submitted) = sim();
     sim.append(&submitted);
     sim.advance(500);
-    sim.append(&JobRecord::CancelledBy(job_id(1), CallerMark::of(None)));
+    sim.append(&JobRecord::CancelledBy(job_id(1), OrganisationDigest::of(None)));
     sim.advance(500);
     assert_eq!(sim.state(job_id(1)), Some(JobState::Running));
     sim.append(&JobRecord::CancelledBy(job_id(1), east));
--- a/tests/two_leaders.rs
+++ b/tests/two_leaders.rs
@@ -8,7 +8,7 @@
 
 use ibisweir::control::ControlLoop;
 use ibisweir::decide::leadership::{
-    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, SILENCE_MS,
+    HolderId, LeadershipAct, LeadershipRecord, LeadershipView, RENEWAL_TIMEOUT_MS,
 };
 use ibisweir::decide::replica::ReplicaList;
 use ibisweir::jobs::conductor::ConductorParts;
@@ -352,7 +352,7 @@
         let mut leadership = LeadershipLoop {
             node: node.clone(),
             parts,
-            own: HolderId { name: name.into(), life: 1, delay_ms: 0 },
+            own: HolderId { name: name.into(), incarnation: 1, delay_ms: 0 },
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
@@ -509,20 +509,20 @@
     let record = |act, name: &str| LeadershipRecord {
         act,
         holder: name.into(),
-        life: 1,
+        incarnation: 1,
         address: "127.0.0.1:7000".parse().expect("an address"),
         replicas: ReplicaList::default(),
         append_ms: 0,
     };
     let mut view = LeadershipView::default();
-    view.fold(4, &record(LeadershipAct::Claim, "a"), 1_000);
-    view.fold(5, &record(LeadershipAct::Resign, "a"), 1_100);
-    view.missed(40, 30_000);
-    view.reached(40, 30_000);
-    view.fold(40, &record(LeadershipAct::Renew, "b"), 30_100);
-    let own = |name: &str| HolderId { name: name.into(), life: 1, delay_ms: 0 };
+    view.apply(4, &record(LeadershipAct::Claim, "a"), 1_000);
+    view.apply(5, &record(LeadershipAct::Resign, "a"), 1_100);
+    view.skip_to(40, 30_000);
+    view.record_read(40, 30_000);
+    view.apply(40, &record(LeadershipAct::Renew, "b"), 30_100);
+    let own = |name: &str| HolderId { name: name.into(), incarnation: 1, delay_ms: 0 };
     assert!(view.is_held_by(&own("b")) && !view.is_held_by(&own("a")));
-    assert_eq!(view.claim_in_ms(&own("c"), false, 30_100), Some(SILENCE_MS));
+    assert_eq!(view.claim_in_ms(&own("c"), false, 30_100), Some(RENEWAL_TIMEOUT_MS));
 }
 
 /// Guards against a lease that a worker with a slow clock, which was idle for long, takes late and holds for longer than
--- a/tests/waves.rs
+++ b/tests/waves.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ibisweir::decide::fleet::{
-    DrainReason, FleetBody, FleetRecord, FleetState, FleetVerdict, StewardAct, VmPhase,
+    DrainReason, FleetBody, FleetOutcome, FleetRecord, FleetState, StewardAct, VmPhase,
 };
 use ibisweir::decide::wave::{PlanInput, PlanTimes, ProbeView, plan};
 use ibisweir::document::{IntentDocument, WaveSpec};
@@ -29,7 +29,7 @@
         let port = |vm: &VmName| vms.iter().position(|(name, ..)| name == vm).unwrap_or(0);
         let document = shape
             .document(|vm| ([127, 0, 0, 1], 1 + u16::try_from(port(vm)).expect("few VMs")).into());
-        let probe = ProbeView { boot: 1, answers: true, silent_ms: 0 };
+        let probe = ProbeView { boot: 1, is_answering: true, silent_ms: 0 };
         let probes = document.vms.iter().map(|vm| (vm.name.clone(), probe)).collect();
         let centres = document.data_centres.iter().map(|c| (c.name.clone(), Arc::default()));
         let fleets = centres.collect();
@@ -47,7 +47,7 @@
         self.document.data_centres.iter().map(|centre| centre.name.clone()).collect()
     }
 
-    fn write(&mut self, centre: &CentreName, body: FleetBody) -> FleetVerdict {
+    fn write(&mut self, centre: &CentreName, body: FleetBody) -> FleetOutcome {
         let fleet = Arc::make_mut(self.fleets.get_mut(centre).expect("a known data centre"));
         let by = EntryName::from("steward");
         let record = FleetRecord { id: Uuid::nil(), by, at_ms: self.now_ms, body };
@@ -145,12 +145,12 @@
     let mut fleet = Fleet::open(&shape(1));
     fleet.wave("w");
     let vm = VmName::from("dc-b-w0");
-    let probe = ProbeView { boot: 1, answers: false, silent_ms: 2_000 };
+    let probe = ProbeView { boot: 1, is_answering: false, silent_ms: 2_000 };
     fleet.probes.insert(vm.clone(), probe);
     let act = StewardAct::Lost { vm: vm.clone() };
     fleet.write(&CentreName::from("dc-b"), FleetBody::Act { term: 1, act });
     assert_eq!(fleet.drains(), 0);
-    fleet.probes.insert(vm, ProbeView { boot: 9, answers: true, silent_ms: 0 });
+    fleet.probes.insert(vm, ProbeView { boot: 9, is_answering: true, silent_ms: 0 });
     fleet.run(60);
     let states = fleet.fleets.values().flat_map(|fleet| fleet.vms.values());
     assert!(states.into_iter().all(|state| !state.waves.is_empty()));
