--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -15,7 +15,7 @@
 /// Age up to which what workers say of themselves is acted on where they guard nothing, in milliseconds. Reads
 /// come every 0.8 s, and 0.4 s later from a slow log. A smaller room must be kept to after 3 s and a heartbeat,
 /// of which a start on its way takes half a second, and 1.2 s more through another entry.
-const ROOM_AGE_MS: u64 = 2_000;
+const CAPACITY_AGE_MAX_MS: u64 = 2_000;
 
 impl Scheduler {
     /// What the workers say of themselves has been read through to its end, as it was at `shown_ms`.
@@ -28,7 +28,7 @@
     pub(crate) fn is_capacity_view_fresh(&self, pool: &str, now: u64) -> bool {
         let has_admission_check =
             self.config.pool(pool).is_some_and(|pool| pool.has_admission_check);
-        has_admission_check || now <= self.workers_read_ms + ROOM_AGE_MS
+        has_admission_check || now <= self.workers_read_ms + CAPACITY_AGE_MAX_MS
     }
 
     /// Takes what a worker says of itself, and takes back the starts that no longer fit, the latest first, or all
@@ -52,33 +52,33 @@
             if self.workers.get(&id).is_none_or(|worker| worker.is_within_capacity()) {
                 return;
             }
-            self.take_back_start(&key, run, "no room any more", now);
+            self.revoke_start(&key, run, "no room any more", now);
         }
     }
 
     /// Takes back all starts that a worker has not answered.
     pub(crate) fn revoke_starts(&mut self, id: &Arc<str>, reason: &'static str, now: u64) {
         for (key, run) in self.pending_starts(id) {
-            self.take_back_start(&key, run, reason, now);
+            self.revoke_start(&key, run, reason, now);
         }
     }
 
     /// Starts that a worker has not answered, the latest first.
     fn pending_starts(&self, id: &Arc<str>) -> Vec<(TaskKey, u32)> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
-        let since = |(key, run): &(TaskKey, u32)| {
+        let pending_since = |(key, run): &(TaskKey, u32)| {
             let task = self.jobs.get(&key.job)?.task(key)?;
             let live = task.live.iter().find(|live| live.run == *run)?;
             let is_pending = matches!(live.phase, RunPhase::Planned | RunPhase::Starting);
             is_pending.then_some((live.phase_since_ms, *key, *run))
         };
-        let mut pending: Vec<_> = worker.runs.keys().filter_map(since).collect();
+        let mut pending: Vec<_> = worker.runs.keys().filter_map(pending_since).collect();
         pending.sort_unstable_by(|one, other| other.cmp(one));
         pending.into_iter().map(|(_, key, run)| (key, run)).collect()
     }
 
     /// One that was sent may be carried out yet: a stop makes the worker refuse it for good.
-    fn take_back_start(&mut self, key: &TaskKey, run: u32, reason: &'static str, now: u64) {
+    fn revoke_start(&mut self, key: &TaskKey, run: u32, reason: &'static str, now: u64) {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         let live = task.and_then(|task| task.live.iter().find(|live| live.run == run));
         match live {
--- a/src/scheduler/copies.rs
+++ b/src/scheduler/copies.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::worker::IsolationRule;
 
 /// Copies of a task that may run at once.
-const COPIES_MAX: usize = 2;
+const LIVE_RUNS_MAX: usize = 2;
 /// Time beyond its declared run time after which a task that allows copies gets one, in
 /// milliseconds: the notice of its end takes a while.
 const COPY_SLACK_MS: u64 = 400;
@@ -15,10 +15,10 @@
 impl Scheduler {
     /// Gives tasks that allow copies and take too long, or whose worker is silent, a second run.
     pub(crate) fn place_copies(&mut self, now: u64) {
-        if !self.has_start_room() {
+        if !self.has_start_slot() {
             return;
         }
-        let mut late = Vec::new();
+        let mut stragglers = Vec::new();
         for job in self.jobs.values().filter(|job| !job.state.is_final()) {
             for (occurrence, run) in &job.occurrences {
                 for (position, step) in run.steps.iter().enumerate() {
@@ -27,14 +27,14 @@
                         continue;
                     }
                     for (index, task) in step.tasks.iter().enumerate() {
-                        if !task.is_done && self.wants_copy(step, index, now) {
-                            late.push(job.key(*occurrence, position, index));
+                        if !task.is_done && self.is_copy_due(step, index, now) {
+                            stragglers.push(job.key(*occurrence, position, index));
                         }
                     }
                 }
             }
         }
-        for key in late {
+        for key in stragglers {
             let Some(spec) = self.step_spec(&key.step_key()) else { continue };
             let Some(service) = self.jobs.get(&key.job).map(|job| self.service_of(job)) else {
                 continue;
@@ -44,7 +44,7 @@
             {
                 continue;
             }
-            let (beside, racks) = self.neighbours(&key.step_key());
+            let (runs_by_worker, runs_by_rack) = self.sibling_counts(&key.step_key());
             let mut avoided = self.avoided(&key);
             let live = self.jobs.get(&key.job).and_then(|job| job.task(&key));
             avoided.extend(live.into_iter().flat_map(|task| {
@@ -52,12 +52,12 @@
             }));
             let query = PlaceQuery {
                 spec: &spec,
-                beside: &beside,
-                racks: &racks,
+                runs_by_worker: &runs_by_worker,
+                runs_by_rack: &runs_by_rack,
                 avoided: &avoided,
                 permitted: None,
                 rack: None,
-                terms: IsolationRule::Normal,
+                isolation: IsolationRule::Normal,
             };
             if let Some(worker) = self.find_worker(&service, &query, u64::MAX, now) {
                 let run = self.next_run(&key);
@@ -71,27 +71,27 @@
     }
 
     /// Whether every run of a task is on a silent worker, or takes far longer than its siblings do.
-    fn wants_copy(&self, step: &StepRun, index: usize, now: u64) -> bool {
+    fn is_copy_due(&self, step: &StepRun, index: usize, now: u64) -> bool {
         let Some(task) = step.tasks.get(index) else { return false };
         // A copy of what may crash its worker would cost two.
-        if task.live.is_empty() || task.live.len() >= COPIES_MAX || task.losses.total > 0 {
+        if task.live.is_empty() || task.live.len() >= LIVE_RUNS_MAX || task.losses.total > 0 {
             return false;
         }
-        let is_young = |live: &LiveRun| {
+        let is_recent = |live: &LiveRun| {
             now.saturating_sub(live.phase_since_ms) <= COPY_SLACK_MS
                 && !self.is_silent(&live.worker)
         };
-        if task.live.iter().any(is_young) {
+        if task.live.iter().any(is_recent) {
             return false;
         }
-        let usual = median_runtime_ms(step, u32::try_from(index).ok());
+        let median_ms = median_runtime_ms(step, u32::try_from(index).ok());
         task.live.iter().all(|live| {
             let is_silent = self.is_silent(&live.worker);
             let elapsed = now.saturating_sub(live.phase_since_ms);
-            let is_late = usual.is_some_and(|usual| {
+            let is_late = median_ms.is_some_and(|median_ms| {
                 live.phase == RunPhase::Running
-                    && elapsed > usual * 3 / 2 + COPY_SLACK_MS
-                    && projected_runtime_ms(live) > elapsed + usual
+                    && elapsed > median_ms * 3 / 2 + COPY_SLACK_MS
+                    && projected_runtime_ms(live) > elapsed + median_ms
             });
             is_silent || is_late
         })
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -10,10 +10,10 @@
 
 /// Time over which arrivals are averaged, in milliseconds: a dozen jobs in a burst, and short against
 /// the time that a VM takes to change pools.
-const STEADY_MS: f64 = 600.0;
+const STEADY_WINDOW_MS: f64 = 600.0;
 /// The same for what has risen just now. A burst begins from one moment to the next, and each tenth of
 /// a second until its VMs are called for is lost to all jobs that arrive before they come.
-const QUICK_MS: f64 = 120.0;
+const QUICK_WINDOW_MS: f64 = 120.0;
 
 /// Work arriving per second: of each resource, the amount times the seconds that it is held.
 #[derive(Clone, Copy, Debug)]
@@ -36,8 +36,8 @@
 impl Default for ArrivalRate {
     fn default() -> Self {
         ArrivalRate {
-            steady: WorkRate::over(STEADY_MS),
-            quick: WorkRate::over(QUICK_MS),
+            steady: WorkRate::with_window(STEADY_WINDOW_MS),
+            quick: WorkRate::with_window(QUICK_WINDOW_MS),
             updated_ms: 0,
         }
     }
@@ -58,7 +58,7 @@
     }
 
     fn decay(&mut self, now: u64) {
-        let elapsed = real(now.saturating_sub(self.updated_ms));
+        let elapsed = to_float(now.saturating_sub(self.updated_ms));
         self.updated_ms = now;
         self.steady.decay(elapsed);
         self.quick.decay(elapsed);
@@ -66,25 +66,25 @@
 }
 
 impl WorkRate {
-    fn over(window_ms: f64) -> WorkRate {
+    fn with_window(window_ms: f64) -> WorkRate {
         WorkRate { window_ms, cpu: 0.0, memory: 0.0, accelerators: 0.0 }
     }
 
     fn add_job(&mut self, spec: &JobSpec, model: &RuntimeModel) {
         for step in spec.steps.iter().filter(|step| !step.is_service) {
             let expected_ms = model.expected_ms(step.estimate_ms);
-            let held = real(expected_ms) * f64::from(step.count) / self.window_ms;
-            self.cpu += real(step.need.cpu) * held;
-            self.memory += real(step.need.memory) * held;
-            self.accelerators += real(step.need.accelerators) * held;
+            let held = to_float(expected_ms) * f64::from(step.count) / self.window_ms;
+            self.cpu += to_float(step.need.cpu) * held;
+            self.memory += to_float(step.need.memory) * held;
+            self.accelerators += to_float(step.need.accelerators) * held;
         }
     }
 
     fn load(&self) -> ResourceVector {
         ResourceVector {
-            cpu: whole(self.cpu),
-            memory: whole(self.memory),
-            accelerators: whole(self.accelerators),
+            cpu: to_whole(self.cpu),
+            memory: to_whole(self.memory),
+            accelerators: to_whole(self.accelerators),
         }
     }
 
@@ -98,12 +98,12 @@
 
 /// Figures here stay far below the 2^53 up to which a float is exact.
 #[allow(clippy::cast_precision_loss)]
-fn real(figure: u64) -> f64 {
+fn to_float(figure: u64) -> f64 {
     figure as f64
 }
 
 /// The cast saturates.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn whole(figure: f64) -> u64 {
+fn to_whole(figure: f64) -> u64 {
     figure.max(0.0) as u64
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -30,9 +30,9 @@
 pub(crate) struct PlaceQuery<'a> {
     pub spec: &'a StepSpec,
     /// Runs of the step by worker.
-    pub beside: &'a BTreeMap<Arc<str>, u32>,
+    pub runs_by_worker: &'a BTreeMap<Arc<str>, u32>,
     /// Runs of the step by rack.
-    pub racks: &'a BTreeMap<Arc<str>, u32>,
+    pub runs_by_rack: &'a BTreeMap<Arc<str>, u32>,
     /// Workers on which the task failed.
     pub avoided: &'a [Arc<str>],
     /// Workers that may run the step; none for all.
@@ -40,7 +40,7 @@
     /// Rack that it must be on.
     pub rack: Option<&'a str>,
     /// On what terms it starts.
-    pub terms: IsolationRule,
+    pub isolation: IsolationRule,
 }
 
 impl Scheduler {
@@ -53,13 +53,13 @@
             return;
         }
         self.clear_claims();
-        let rooms = self.largest_rooms(now);
-        let mut ready = self.ready_steps(&rooms, now);
+        let largest_free = self.largest_free(now);
+        let mut ready = self.ready_steps(&largest_free, now);
         ready.sort_by_key(|step| (step.rank, step.key));
         // Once a pool has refused the smallest request, the others behind it need no look.
-        let mut full: BTreeMap<Arc<str>, ResourceVector> = BTreeMap::new();
+        let mut least_refused: BTreeMap<Arc<str>, ResourceVector> = BTreeMap::new();
         for step in ready {
-            if !self.has_start_room() {
+            if !self.has_start_slot() {
                 break;
             }
             let submission = self.jobs.get(&step.key.job).map(|job| job.submission.clone());
@@ -68,9 +68,10 @@
             if !self.is_capacity_view_fresh(&step.service, now) {
                 continue;
             }
-            let booked = spec.reservation();
-            let is_hopeless = full.get(&step.service).is_some_and(|least| booked.covers(least));
-            if is_hopeless && !is_urgent(spec) {
+            let reservation = spec.reservation();
+            let is_refused =
+                least_refused.get(&step.service).is_some_and(|least| reservation.covers(least));
+            if is_refused && !may_preempt(spec) {
                 continue;
             }
             let is_placed = if spec.is_gang {
@@ -78,15 +79,15 @@
             } else {
                 self.place_tasks(&step, spec, now)
             };
-            if !is_placed && is_plain(spec) {
-                full.insert(step.service.clone(), booked);
+            if !is_placed && is_unconstrained(spec) {
+                least_refused.insert(step.service.clone(), reservation);
             }
         }
         if std::mem::take(&mut self.is_copy_check_due) {
             self.place_copies(now);
         }
         self.clear_claims();
-        self.is_start_queue_full = !self.has_start_room();
+        self.is_start_queue_full = !self.has_start_slot();
     }
 
     /// Whether a part of the line has gone out since starts were held back: a look at all that waits costs
@@ -98,7 +99,7 @@
 
     /// Whether one more start could be sent soon. What is placed before that keeps room from tasks that
     /// are more urgent by then, and its lease from the first moment on.
-    pub(crate) fn has_start_room(&self) -> bool {
+    pub(crate) fn has_start_slot(&self) -> bool {
         self.pace.starts_max.is_none_or(|most| self.open_starts() < most)
     }
 
@@ -109,40 +110,45 @@
 
     /// Of each resource the most that any one worker of a pool has left: what does not fit into that fits
     /// nowhere. In a burst it spares the look at all that waits in line.
-    fn largest_rooms(&self, now: u64) -> HashMap<Arc<str>, ResourceVector> {
-        let mut rooms: HashMap<Arc<str>, ResourceVector> = HashMap::new();
+    fn largest_free(&self, now: u64) -> HashMap<Arc<str>, ResourceVector> {
+        let mut largest_free: HashMap<Arc<str>, ResourceVector> = HashMap::new();
         for worker in self.workers.values().filter(|worker| worker.is_available(now)) {
             let free = worker.free();
-            match rooms.get_mut(&worker.entry.service) {
-                Some(room) => *room = room.component_max(&free),
+            match largest_free.get_mut(&worker.entry.service) {
+                Some(largest) => *largest = largest.component_max(&free),
                 None => {
-                    rooms.insert(worker.entry.service.clone(), free);
+                    largest_free.insert(worker.entry.service.clone(), free);
                 }
             }
         }
-        rooms
+        largest_free
     }
 
     /// Steps with tasks that wait and may find a place.
-    fn ready_steps(&self, rooms: &HashMap<Arc<str>, ResourceVector>, now: u64) -> Vec<ReadyStep> {
+    fn ready_steps(
+        &self,
+        largest_free: &HashMap<Arc<str>, ResourceVector>,
+        now: u64,
+    ) -> Vec<ReadyStep> {
         let mut ready = Vec::new();
         let sizes = self.pool_sizes();
         for job in self.jobs.values().filter(|job| !job.state.is_final()) {
             let Some(queue) = self.queue_of(job) else { continue };
             let specs = &job.submission.spec.steps;
             let model = self.runtime_model(queue);
-            let room = rooms.get(&queue.service).copied().unwrap_or_default();
+            let largest = largest_free.get(&queue.service).copied().unwrap_or_default();
             for (occurrence, run) in &job.occurrences {
-                let mut ranked = None;
+                let mut cached_rank = None;
                 for (position, step) in run.steps.iter().enumerate() {
-                    if !is_urgent(&specs[position]) && !room.covers(&specs[position].reservation())
+                    if !may_preempt(&specs[position])
+                        && !largest.covers(&specs[position].reservation())
                     {
                         continue;
                     }
-                    let is_open = |before: &u16| {
+                    let is_step_done = |before: &u16| {
                         run.steps.get(usize::from(*before)).is_some_and(|step| step.is_done())
                     };
-                    if step.is_done() || !specs[position].after.iter().all(is_open) {
+                    if step.is_done() || !specs[position].after.iter().all(is_step_done) {
                         continue;
                     }
                     let waiting: Vec<TaskKey> = step
@@ -169,7 +175,7 @@
                     }
                     let due = self.due_ms(job, *occurrence, now);
                     let rank =
-                        *ranked.get_or_insert_with(|| rank(job, queue, run, &model, due, now));
+                        *cached_rank.get_or_insert_with(|| rank(job, queue, run, &model, due, now));
                     ready.push(ReadyStep {
                         rank,
                         key: waiting[0].step_key(),
@@ -198,68 +204,68 @@
     /// Places the waiting tasks of a step; false if one found no room.
     fn place_tasks(&mut self, step: &ReadyStep, spec: &StepSpec, now: u64) -> bool {
         let Some(permitted) = self.permitted(step, now) else { return true };
-        let (mut beside, mut racks) = self.neighbours_of(spec, &step.key);
+        let (mut runs_by_worker, mut runs_by_rack) = self.relevant_sibling_counts(spec, &step.key);
         // Tasks that will be placed once what is displaced for them has ended.
-        let mut waiting = 0;
+        let mut preempting = 0;
         for key in &step.waiting {
             // Its organisation's other tasks wait as well, and nobody else's.
-            if !self.has_start_room()
-                || !self.may_start_under_cap(key, &spec.need.times(waiting + 1))
+            if !self.has_start_slot()
+                || !self.may_start_under_cap(key, &spec.need.times(preempting + 1))
             {
-                return waiting == 0;
+                return preempting == 0;
             }
             let waited = self.waited_ms(key, now);
-            let terms = self.place_terms(key, &step.service, spec, now);
+            let rules = self.isolation_rules(key, &step.service, spec, now);
             // The rest of the pool is not full because a suspect has to wait.
-            let Some(last) = terms.last().copied() else { continue };
+            let Some(last) = rules.last().copied() else { continue };
             let avoided = self.avoided_now(key, spec, &step.service, now);
-            let is_lasting = is_urgent(spec);
+            let is_preemptor = may_preempt(spec);
             let query = PlaceQuery {
                 spec,
-                beside: &beside,
-                racks: &racks,
+                runs_by_worker: &runs_by_worker,
+                runs_by_rack: &runs_by_rack,
                 avoided: &avoided,
                 permitted: permitted.clone(),
                 rack: None,
-                terms: last,
+                isolation: last,
             };
-            let mut found = self.find_on_terms(&step.service, &query, &terms, waited, now);
+            let mut found = self.find_isolated_worker(&step.service, &query, &rules, waited, now);
             if found.is_none()
-                && is_lasting
-                && let Some(promised) = self.preempt_for(&step.service, &query, step.rank, now)
+                && is_preemptor
+                && let Some(claimed) = self.preempt_for(&step.service, &query, step.rank, now)
             {
                 // Beside a suspect nothing else may start, so no other can count on room there.
                 if self.probation_job(key).is_some() && !last.is_shared() {
                     return false;
                 }
-                waiting += 1;
-                *beside.entry(promised).or_insert(0) += 1;
+                preempting += 1;
+                *runs_by_worker.entry(claimed).or_insert(0) += 1;
                 continue;
             }
-            let waits =
-                self.is_choosy(key, spec, now) && self.has_other_open(&step.service, &avoided, now);
-            if found.is_none() && !avoided.is_empty() && !waits {
+            let is_waiting = self.may_keep_waiting(key, spec, now)
+                && self.has_other_available(&step.service, &avoided, now);
+            if found.is_none() && !avoided.is_empty() && !is_waiting {
                 let query = PlaceQuery { avoided: &[], ..query };
-                found = self.find_on_terms(&step.service, &query, &terms, waited, now);
+                found = self.find_isolated_worker(&step.service, &query, &rules, waited, now);
             }
-            let Some((worker, terms)) = found else {
+            let Some((worker, isolation)) = found else {
                 if self.probation_job(key).is_some() {
                     continue;
                 }
                 return false;
             };
             let run = self.next_run(key);
-            self.plan_run_on(terms, key, run, &worker, now);
+            self.plan_isolated_run(isolation, key, run, &worker, now);
             if let Some(host) = self.workers.get(&worker) {
-                *racks.entry(host.entry.rack().into()).or_insert(0) += 1;
+                *runs_by_rack.entry(host.entry.rack().into()).or_insert(0) += 1;
             }
-            *beside.entry(worker).or_insert(0) += 1;
+            *runs_by_worker.entry(worker).or_insert(0) += 1;
         }
-        waiting == 0
+        preempting == 0
     }
 
     /// Whether a pool has open workers beside these.
-    fn has_other_open(&self, service: &str, avoided: &[Arc<str>], now: u64) -> bool {
+    fn has_other_available(&self, service: &str, avoided: &[Arc<str>], now: u64) -> bool {
         let is_other = |id: &Arc<str>| !avoided.contains(id);
         self.workers.iter().any(|(id, worker)| {
             &*worker.entry.service == service && worker.is_available(now) && is_other(id)
@@ -267,7 +273,7 @@
     }
 
     /// Whether a task would rather wait than start on a VM that is not steady.
-    fn is_choosy(&self, key: &TaskKey, spec: &StepSpec, now: u64) -> bool {
+    fn may_keep_waiting(&self, key: &TaskKey, spec: &StepSpec, now: u64) -> bool {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         task.is_some_and(|task| self.losses.may_keep_waiting(task, spec.is_service, now))
     }
@@ -304,9 +310,9 @@
     ) -> Vec<Arc<str>> {
         let mut avoided = self.avoided(key);
         if self.loss_count(key).total > 0 {
-            avoided.extend(self.unsteady_workers(service, key, now));
+            avoided.extend(self.recent_loss_workers(service, key, now));
         }
-        if is_urgent(spec) && self.fleet.urgent_pools.contains(service) {
+        if may_preempt(spec) && self.fleet.urgent_pools.contains(service) {
             avoided.extend(self.due_workers(service));
         }
         avoided
@@ -314,17 +320,17 @@
 
     /// Workers of a pool whose VMs have lost another one lately. A task that has lost workers would lose the next
     /// one to a VM that goes down and up by turns.
-    fn unsteady_workers(&self, service: &str, key: &TaskKey, now: u64) -> Vec<Arc<str>> {
+    fn recent_loss_workers(&self, service: &str, key: &TaskKey, now: u64) -> Vec<Arc<str>> {
         let is_on_trial = self.loss_count(key).is_on_trial();
         let workers = self.workers.iter().filter(|(_, worker)| &*worker.entry.service == service);
-        let is_unsteady = |(_, worker): &(&Arc<str>, &WorkerState)| {
+        let has_recent_loss = |(_, worker): &(&Arc<str>, &WorkerState)| {
             let address = worker.entry.address;
             match is_on_trial {
                 true => self.losses.has_unexplained_loss(address, now),
                 false => self.losses.has_recent_loss(address, now),
             }
         };
-        workers.filter(is_unsteady).map(|(id, _)| id.clone()).collect()
+        workers.filter(has_recent_loss).map(|(id, _)| id.clone()).collect()
     }
 
     /// Workers of a pool whose VMs are still to be maintained.
@@ -334,33 +340,33 @@
     }
 
     /// The same, where the step's places go by them.
-    fn neighbours_of(
+    fn relevant_sibling_counts(
         &self,
         spec: &StepSpec,
         key: &StepKey,
     ) -> (BTreeMap<Arc<str>, u32>, BTreeMap<Arc<str>, u32>) {
         match spec.per_worker_max > 0 || spec.is_best_effort {
-            true => self.neighbours(key),
+            true => self.sibling_counts(key),
             false => (BTreeMap::new(), BTreeMap::new()),
         }
     }
 
     /// Runs of a step by worker and by rack.
-    pub(crate) fn neighbours(
+    pub(crate) fn sibling_counts(
         &self,
         key: &StepKey,
     ) -> (BTreeMap<Arc<str>, u32>, BTreeMap<Arc<str>, u32>) {
-        let (mut beside, mut racks) = (BTreeMap::new(), BTreeMap::new());
-        let Some(job) = self.jobs.get(&key.job) else { return (beside, racks) };
-        let Some(run) = job.occurrences.get(&key.occurrence) else { return (beside, racks) };
-        let Some(step) = run.steps.get(usize::from(key.step)) else { return (beside, racks) };
+        let (mut by_worker, mut by_rack) = (BTreeMap::new(), BTreeMap::new());
+        let Some(job) = self.jobs.get(&key.job) else { return (by_worker, by_rack) };
+        let Some(run) = job.occurrences.get(&key.occurrence) else { return (by_worker, by_rack) };
+        let Some(step) = run.steps.get(usize::from(key.step)) else { return (by_worker, by_rack) };
         for live in step.tasks.iter().flat_map(|task| task.live.iter()) {
-            *beside.entry(live.worker.clone()).or_insert(0) += 1;
+            *by_worker.entry(live.worker.clone()).or_insert(0) += 1;
             if let Some(worker) = self.workers.get(&live.worker) {
-                *racks.entry(worker.entry.rack().into()).or_insert(0) += 1;
+                *by_rack.entry(worker.entry.rack().into()).or_insert(0) += 1;
             }
         }
-        (beside, racks)
+        (by_worker, by_rack)
     }
 
     /// Workers that may run a step: all if its queue needs no permits (`Some(None)`), nothing while
@@ -379,11 +385,11 @@
         if !permits.allowed.is_empty() && now + PERMIT_SLACK_MS < permits.expires_ms {
             return Some(Some(permits.allowed.keys().cloned().collect()));
         }
-        let is_asked = permits.asked_ms.is_some_and(|asked| now < asked + PERMIT_RETRY_MS);
-        if !is_asked && !pool.is_empty() {
+        let is_requested = permits.asked_ms.is_some_and(|asked| now < asked + PERMIT_RETRY_MS);
+        if !is_requested && !pool.is_empty() {
             permits.asked_ms = Some(now);
-            let named = pool.into_iter().take(PERMIT_WORKERS_MAX).collect();
-            self.actions.push(SchedulerAction::RequestPermits(step.key, named));
+            let candidates = pool.into_iter().take(PERMIT_WORKERS_MAX).collect();
+            self.actions.push(SchedulerAction::RequestPermits(step.key, candidates));
         }
         None
     }
@@ -405,19 +411,21 @@
         now: u64,
     ) -> Option<Arc<str>> {
         let remote_ms = remote_cost_ms(query.spec, self.bounds.remote_factor);
-        let booked = query.spec.reservation();
+        let reservation = query.spec.reservation();
         // The cheapest question first: in a burst few workers have room.
         self.workers
             .iter()
-            .filter(|(id, worker)| self.unclaimed(id, worker).covers(&booked))
+            .filter(|(id, worker)| self.unclaimed(id, worker).covers(&reservation))
             .filter(|(_, worker)| &*worker.entry.service == service)
-            .filter(|(_, worker)| worker.may_take(query.terms, now))
+            .filter(|(_, worker)| worker.may_take(query.isolation, now))
             .filter(|(id, worker)| is_allowed(id, worker, query))
             .filter(|(_, worker)| {
                 // Away from its data it takes longer than a short wait for room beside it.
                 is_near(worker, query.spec) || waited_ms >= remote_ms
             })
-            .min_by_key(|(_, worker)| (worker.has_refused(now), self.misfit(worker, query, now)))
+            .min_by_key(|(_, worker)| {
+                (worker.has_refused(now), self.placement_cost(worker, query, now))
+            })
             .map(|(id, _)| id.clone())
     }
 
@@ -430,15 +438,15 @@
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(spec) = job.spec(key) else { return false };
         let Some(queue) = self.queue_of(job) else { return false };
-        let (beside, racks) = self.neighbours(&key.step_key());
+        let (runs_by_worker, runs_by_rack) = self.sibling_counts(&key.step_key());
         let query = PlaceQuery {
             spec,
-            beside: &beside,
-            racks: &racks,
+            runs_by_worker: &runs_by_worker,
+            runs_by_rack: &runs_by_rack,
             avoided: &[],
             permitted: None,
             rack: None,
-            terms: IsolationRule::Normal,
+            isolation: IsolationRule::Normal,
         };
         let service = self.service_of(job);
         let rank = JobRank { priority: queue.priority, tier: RankTier::Service, work: 0 };
@@ -449,16 +457,16 @@
             .filter(|(id, worker)| is_allowed(id, worker, &query))
             .map(|(id, worker)| (self.fleet.is_due(id), worker))
             .collect();
-        let is_hurried = self.fleet.urgent_pools.contains(&service);
-        let has_lasting = is_hurried && hosts.iter().any(|(is_due, _)| !is_due);
-        hosts.iter().filter(|(is_due, _)| !(has_lasting && *is_due)).any(|(_, worker)| {
+        let is_urgent = self.fleet.urgent_pools.contains(&service);
+        let has_lasting_host = is_urgent && hosts.iter().any(|(is_due, _)| !is_due);
+        hosts.iter().filter(|(is_due, _)| !(has_lasting_host && *is_due)).any(|(_, worker)| {
             worker.free().covers(&spec.reservation())
-                || is_hurried && self.may_preempt_for(worker, spec, rank, now)
+                || is_urgent && self.may_preempt_for(worker, spec, rank, now)
         })
     }
 
     /// How badly a worker fits; the least is best.
-    fn misfit(
+    fn placement_cost(
         &self,
         worker: &WorkerState,
         query: &PlaceQuery<'_>,
@@ -466,43 +474,43 @@
     ) -> (u64, u64, u64, u64) {
         let spec = query.spec;
         let is_far = u64::from(!is_near(worker, spec));
-        let hosts_service = worker.runs.values().any(|run| run.is_service);
+        let has_service = worker.runs.values().any(|run| run.is_service);
         let due = u64::from(self.fleet.is_due(&worker.entry.id));
-        let rack = query.racks.get(worker.entry.rack()).copied().unwrap_or(0);
-        let load = worker.used().dominant_share_of(&worker.entry.capacity);
-        let fullest = 1_000 - load.min(1_000);
-        if query.terms.has_admission_check() {
+        let rack = query.runs_by_rack.get(worker.entry.rack()).copied().unwrap_or(0);
+        let used_share = worker.used().dominant_share_of(&worker.entry.capacity);
+        let free_share = 1_000 - used_share.min(1_000);
+        if query.isolation.is_near_suspect() {
             // What is lost with it, services first: each has a budget for being away.
-            let is_unsteady = u64::from(self.losses.has_recent_loss(worker.entry.address, now));
-            if query.terms.is_shared() {
+            let has_recent_loss = u64::from(self.losses.has_recent_loss(worker.entry.address, now));
+            if query.isolation.is_shared() {
                 let (losses, suspects) = worker.risk();
                 let suspects = u64::try_from(suspects).unwrap_or(u64::MAX);
-                return (is_far, u64::from(losses), suspects, 2 * load + is_unsteady);
+                return (is_far, u64::from(losses), suspects, 2 * used_share + has_recent_loss);
             }
-            return (is_far, is_unsteady, u64::from(hosts_service), load);
+            return (is_far, has_recent_loss, u64::from(has_service), used_share);
         }
         if spec.is_best_effort {
             // It lives on what is left over: the emptiest worker.
-            return (is_far, u64::from(rack), due, load);
+            return (is_far, u64::from(rack), due, used_share);
         }
         // A VM with a service can't be given away; the others become empty the sooner the more runs
         // beside services, and empty ones change pools or are maintained at no cost.
-        let hosts_none = u64::from(!hosts_service);
+        let has_no_service = u64::from(!has_service);
         if spec.is_service {
             // A move of a service counts against its budget: not to where it is moved again.
-            return (is_far, due, hosts_none, fullest);
+            return (is_far, due, has_no_service, free_share);
         }
-        (is_far, hosts_none, due, fullest)
+        (is_far, has_no_service, due, free_share)
     }
 }
 
 /// Whether a step's tasks displace others where there is no room.
-fn is_urgent(spec: &StepSpec) -> bool {
+fn may_preempt(spec: &StepSpec) -> bool {
     spec.is_service && !spec.is_best_effort
 }
 
 /// Whether a step asks for nothing but room, so that its refusal tells of the whole pool.
-fn is_plain(spec: &StepSpec) -> bool {
+fn is_unconstrained(spec: &StepSpec) -> bool {
     spec.required_label.is_none()
         && spec.data_rack.is_none()
         && spec.per_worker_max == 0
@@ -526,9 +534,9 @@
         .required_label
         .as_deref()
         .is_none_or(|label| worker.entry.labels.iter().any(|own| &**own == label));
-    let beside = query.beside.get(id).copied().unwrap_or(0);
+    let runs_on_worker = query.runs_by_worker.get(id).copied().unwrap_or(0);
     has_label
-        && (spec.per_worker_max == 0 || beside < spec.per_worker_max)
+        && (spec.per_worker_max == 0 || runs_on_worker < spec.per_worker_max)
         && !query.avoided.contains(id)
         && query.rack.is_none_or(|rack| worker.entry.rack() == rack)
         && query.permitted.as_ref().is_none_or(|allowed| allowed.contains(id))
--- a/src/scheduler/downtime.rs
+++ b/src/scheduler/downtime.rs
@@ -21,19 +21,19 @@
 
 /// Time without a run after which a service no longer waits for a calm pool or for a worker of its own, in
 /// milliseconds: well under the six seconds in which it must be back.
-const SERVICE_WAIT_MAX_MS: u64 = 4_000;
+const SERVICE_DOWN_MAX_MS: u64 = 4_000;
 /// The same for a task that is given up with its next loss, in milliseconds. It waits that long in a pool that looks calm
 /// too.
-const LAST_WAIT_MS: u64 = 5_000;
+const LAST_CHANCE_DOWN_MAX_MS: u64 = 5_000;
 /// Time without a lost worker after which a pool is quiet, in milliseconds.
 const QUIET_MS: u64 = 5_000;
 /// Time without a run after which such a task starts beside any other, in milliseconds: it must be back within nine
 /// seconds whatever happens.
-const APART_WAIT_MAX_MS: u64 = 8_000;
+const APART_DOWN_MAX_MS: u64 = 8_000;
 
 /// Time at work of a suspect after which another one may start beside it, in milliseconds: most tasks that crash their
 /// workers do it within a second.
-const APART_PROOF_MS: u64 = 800;
+const APART_CRASH_WINDOW_MS: u64 = 800;
 
 /// When a run was last known to be alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,15 +61,15 @@
     /// Whether a task of a service has been without a run for so long that it may wait no longer. One that never ran
     /// has nothing to come back from.
     pub(crate) fn is_overdue(&self, is_for_service: bool, now: u64) -> bool {
-        let wait_max_ms = match self.losses.has_one_loss_left() {
-            true => LAST_WAIT_MS,
-            false => SERVICE_WAIT_MAX_MS,
+        let down_max_ms = match self.losses.has_one_loss_left() {
+            true => LAST_CHANCE_DOWN_MAX_MS,
+            false => SERVICE_DOWN_MAX_MS,
         };
-        is_for_service && self.is_absent(wait_max_ms, now)
+        is_for_service && self.is_down_for(down_max_ms, now)
     }
 
-    fn is_absent(&self, ms: u64, now: u64) -> bool {
-        self.last_alive.is_some_and(|seen| now >= seen.at_ms + ms)
+    fn is_down_for(&self, ms: u64, now: u64) -> bool {
+        self.last_alive.is_some_and(|last_alive| now >= last_alive.at_ms + ms)
     }
 }
 
@@ -81,23 +81,23 @@
         }
         let at_ms =
             live.last_listed_ms.max(live.phase_since_ms).max(self.losses.opened_ms()).min(now);
-        let seen = LastAlive { at_ms, wall_ms: self.wall_ms.saturating_sub(now - at_ms) };
+        let last_alive = LastAlive { at_ms, wall_ms: self.wall_ms.saturating_sub(now - at_ms) };
         if let Some(task) = self.task_mut(key) {
-            task.last_alive = Some(seen);
+            task.last_alive = Some(last_alive);
         }
     }
 
     /// Gives a task to a worker on these terms.
-    pub(crate) fn plan_run_on(
+    pub(crate) fn plan_isolated_run(
         &mut self,
-        terms: IsolationRule,
+        isolation: IsolationRule,
         key: &TaskKey,
         run: u32,
         worker: &Arc<str>,
         now: u64,
     ) {
         self.plan_run(key, run, worker, now);
-        let host = self.workers.get_mut(worker).filter(|_| terms.is_shared());
+        let host = self.workers.get_mut(worker).filter(|_| isolation.is_shared());
         if let Some(host) = host {
             host.share_probation(&(*key, run));
         }
@@ -105,34 +105,36 @@
 
     /// The worker that fits best on the first of these terms on which any does. One that may wait no longer takes an
     /// avoided worker before it takes worse terms.
-    pub(crate) fn find_on_terms(
+    pub(crate) fn find_isolated_worker(
         &self,
         service: &str,
         query: &PlaceQuery<'_>,
-        terms: &[IsolationRule],
+        rules: &[IsolationRule],
         waited_ms: u64,
         now: u64,
     ) -> Option<(Arc<str>, IsolationRule)> {
-        let is_overdue = terms.iter().any(|terms| terms.is_shared());
+        let is_overdue = rules.iter().any(|isolation| isolation.is_shared());
         let find = |query: &PlaceQuery<'_>| self.find_worker(service, query, waited_ms, now);
-        let found = terms.iter().find_map(|terms| {
-            let query = PlaceQuery { terms: *terms, ..query.clone() };
+        let found = rules.iter().find_map(|isolation| {
+            let query = PlaceQuery { isolation: *isolation, ..query.clone() };
             let mut worker = find(&query);
             if worker.is_none() && is_overdue {
                 worker = find(&PlaceQuery { avoided: &[], ..query });
             }
-            Some((worker?, *terms))
+            Some((worker?, *isolation))
         });
         // One that may wait no longer runs away from its data rather than not at all.
-        let is_anywhere = waited_ms < u64::MAX && terms.contains(&IsolationRule::Unrestricted);
+        let may_leave_data = waited_ms < u64::MAX && rules.contains(&IsolationRule::Unrestricted);
         match found {
-            None if is_anywhere => self.find_on_terms(service, query, terms, u64::MAX, now),
+            None if may_leave_data => {
+                self.find_isolated_worker(service, query, rules, u64::MAX, now)
+            }
             found => found,
         }
     }
 
     /// On what terms a task may start, the best first; none if it has to wait.
-    pub(crate) fn place_terms(
+    pub(crate) fn isolation_rules(
         &self,
         key: &TaskKey,
         service: &Arc<str>,
@@ -143,23 +145,28 @@
         let Some(task) = task else { return Vec::new() };
         let is_overdue = task.is_overdue(spec.is_service, now);
         let Some(job) = self.probation_job(key) else {
-            let mut terms = vec![IsolationRule::Normal];
-            terms.extend(is_overdue.then_some(IsolationRule::Unrestricted));
-            return terms;
+            let mut rules = vec![IsolationRule::Normal];
+            rules.extend(is_overdue.then_some(IsolationRule::Unrestricted));
+            return rules;
         };
-        let has_room = self.has_probation_capacity(service, now);
-        let mut terms = Vec::from_iter(has_room.then_some(IsolationRule::Exclusive(job)));
+        let has_probation_capacity = self.has_probation_capacity(service, now);
+        let mut rules =
+            Vec::from_iter(has_probation_capacity.then_some(IsolationRule::Exclusive(job)));
         if !task.losses.has_one_loss_left() {
-            let is_apart = is_overdue || spec.is_service && task.losses.is_on_trial();
-            terms.extend(is_apart.then_some(IsolationRule::ApartFromSuspects(APART_PROOF_MS)));
-            terms.extend(is_overdue.then_some(IsolationRule::Unrestricted));
+            let may_share = is_overdue || spec.is_service && task.losses.is_on_trial();
+            rules.extend(
+                may_share.then_some(IsolationRule::ApartFromSuspects(APART_CRASH_WINDOW_MS)),
+            );
+            rules.extend(is_overdue.then_some(IsolationRule::Unrestricted));
         } else if is_overdue {
-            terms.push(IsolationRule::ApartFromSuspects(LONG_CRASH_WINDOW_MS));
+            rules.push(IsolationRule::ApartFromSuspects(LONG_CRASH_WINDOW_MS));
             let is_quiet = self.losses.is_loss_free(service, QUIET_MS, now);
-            terms.extend(is_quiet.then_some(IsolationRule::ApartFromSuspects(APART_PROOF_MS)));
-            let is_late = is_quiet && task.is_absent(APART_WAIT_MAX_MS, now);
-            terms.extend(is_late.then_some(IsolationRule::Unrestricted));
+            rules.extend(
+                is_quiet.then_some(IsolationRule::ApartFromSuspects(APART_CRASH_WINDOW_MS)),
+            );
+            let is_long_down = is_quiet && task.is_down_for(APART_DOWN_MAX_MS, now);
+            rules.extend(is_long_down.then_some(IsolationRule::Unrestricted));
         }
-        terms
+        rules
     }
 }
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -11,8 +11,8 @@
 impl Scheduler {
     /// Places all members of a gang or none; false if there is no room.
     pub(crate) fn place_gang(&mut self, step: &ReadyStep, spec: &StepSpec, now: u64) -> bool {
-        let is_whole = step.waiting.len() == usize::try_from(spec.count).unwrap_or(0);
-        if !is_whole {
+        let is_complete = step.waiting.len() == usize::try_from(spec.count).unwrap_or(0);
+        if !is_complete {
             return true;
         }
         let members = u64::try_from(step.waiting.len()).unwrap_or(u64::MAX);
@@ -21,24 +21,27 @@
         }
         let Some(permitted) = self.permitted(step, now) else { return true };
         let suspect = step.waiting.iter().find(|key| self.probation_job(key).is_some());
-        let terms = self.place_terms(suspect.unwrap_or(&step.waiting[0]), &step.service, spec, now);
-        if terms.is_empty() {
+        let rules =
+            self.isolation_rules(suspect.unwrap_or(&step.waiting[0]), &step.service, spec, now);
+        if rules.is_empty() {
             return true;
         }
         let waited = self.waited_ms(&step.waiting[0], now);
         let racks = if spec.wants_one_rack { self.racks(&step.service) } else { Vec::new() };
         let remote_ms = remote_cost_ms(spec, self.bounds.remote_factor);
-        let is_scattered = !spec.wants_one_rack || waited >= remote_ms;
-        let places = racks.iter().map(|rack| Some(&**rack)).chain(is_scattered.then_some(None));
-        let ways = terms.iter().flat_map(|terms| places.clone().map(|rack| (*terms, rack)));
-        let plan = ways.into_iter().find_map(|(terms, rack)| {
-            let plan = self.gang_plan(step, spec, permitted.clone(), rack, terms, now)?;
-            Some((plan, terms))
+        let may_span_racks = !spec.wants_one_rack || waited >= remote_ms;
+        let rack_choices =
+            racks.iter().map(|rack| Some(&**rack)).chain(may_span_racks.then_some(None));
+        let attempts =
+            rules.iter().flat_map(|isolation| rack_choices.clone().map(|rack| (*isolation, rack)));
+        let plan = attempts.into_iter().find_map(|(isolation, rack)| {
+            let plan = self.plan_gang(step, spec, permitted.clone(), rack, isolation, now)?;
+            Some((plan, isolation))
         });
-        let Some((plan, terms)) = plan else { return false };
+        let Some((plan, isolation)) = plan else { return false };
         let run = step.waiting.iter().map(|key| self.next_run(key)).max().unwrap_or(1);
         for (key, worker) in step.waiting.iter().zip(plan) {
-            self.plan_run_on(terms, key, run, &worker, now);
+            self.plan_isolated_run(isolation, key, run, &worker, now);
         }
         true
     }
@@ -52,21 +55,21 @@
     }
 
     /// A worker for each member, on a scratch copy of what is free.
-    fn gang_plan(
+    fn plan_gang(
         &self,
         step: &ReadyStep,
         spec: &StepSpec,
         permitted: Option<Vec<Arc<str>>>,
         rack: Option<&str>,
-        terms: IsolationRule,
+        isolation: IsolationRule,
         now: u64,
     ) -> Option<Vec<Arc<str>>> {
-        let (mut beside, racks) = (BTreeMap::new(), BTreeMap::new());
+        let (mut runs_by_worker, runs_by_rack) = (BTreeMap::new(), BTreeMap::new());
         let mut free: BTreeMap<&Arc<str>, ResourceVector> = self
             .workers
             .iter()
             .filter(|(_, worker)| {
-                worker.entry.service == step.service && worker.may_take(terms, now)
+                worker.entry.service == step.service && worker.may_take(isolation, now)
             })
             .map(|(id, worker)| (id, self.unclaimed(id, worker)))
             .collect();
@@ -74,34 +77,34 @@
         for _ in &step.waiting {
             let query = PlaceQuery {
                 spec,
-                beside: &beside,
-                racks: &racks,
+                runs_by_worker: &runs_by_worker,
+                runs_by_rack: &runs_by_rack,
                 avoided: &[],
                 permitted: permitted.clone(),
                 rack,
-                terms,
+                isolation,
             };
             let chosen = free
                 .iter()
-                .filter(|(id, room)| {
-                    room.covers(&spec.reservation())
+                .filter(|(id, available)| {
+                    available.covers(&spec.reservation())
                         && self
                             .workers
                             .get(**id)
                             .is_some_and(|worker| is_allowed(id, worker, &query))
                 })
-                .min_by_key(|(id, room)| {
+                .min_by_key(|(id, available)| {
                     let worker = &self.workers[**id];
-                    let is_unsteady = terms.has_admission_check()
+                    let has_recent_loss = isolation.is_near_suspect()
                         && self.losses.has_recent_loss(worker.entry.address, now);
-                    let share = room.dominant_share_of(&worker.entry.capacity);
-                    (!is_near(worker, spec), is_unsteady, share)
+                    let share = available.dominant_share_of(&worker.entry.capacity);
+                    (!is_near(worker, spec), has_recent_loss, share)
                 })
                 .map(|(id, _)| (*id).clone())?;
-            if let Some(room) = free.get_mut(&chosen) {
-                *room = room.saturating_sub(&spec.reservation());
+            if let Some(available) = free.get_mut(&chosen) {
+                *available = available.saturating_sub(&spec.reservation());
             }
-            *beside.entry(chosen.clone()).or_insert(0) += 1;
+            *runs_by_worker.entry(chosen.clone()).or_insert(0) += 1;
             plan.push(chosen);
         }
         Some(plan)
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -9,7 +9,7 @@
 use crate::scheduler::downtime::LastAlive;
 
 /// Share of its speed from which a new leader regulates a run, in percent: what the leader before allowed is not known.
-const INHERITED_SHARE: u32 = 50;
+const INHERITED_THROTTLE: u32 = 50;
 
 /// Where a run is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -257,14 +257,14 @@
                 }
             }
         }
-        for told in &progress.tasks {
-            self.apply_task(told, &progress.workers);
+        for logged in &progress.tasks {
+            self.apply_task(logged, &progress.workers);
         }
-        for told in &progress.restarts {
-            let key = self.setback_key(told);
+        for logged in &progress.restarts {
+            let key = self.setback_key(logged);
             if let Some(task) = self.task_mut(&key) {
-                task.losses = told.losses;
-                task.moves = told.moves;
+                task.losses = logged.losses;
+                task.moves = logged.moves;
             }
         }
     }
@@ -272,38 +272,39 @@
     /// Takes in what the log tells of when its tasks were last known to run.
     pub(crate) fn restore_last_alive(&mut self, job: &LoggedJob, now: u64, wall_ms: u64) {
         let Some(progress) = &job.progress else { return };
-        let lost = progress.restarts.iter().enumerate().filter(|(_, told)| told.losses.total > 0);
-        for (position, told) in lost {
+        let lost =
+            progress.restarts.iter().enumerate().filter(|(_, logged)| logged.losses.total > 0);
+        for (position, logged) in lost {
             let logged_ms = progress.last_alive_ms.get(position).copied().unwrap_or_default();
-            let key = self.setback_key(told);
+            let key = self.setback_key(logged);
             if let Some(task) = self.task_mut(&key) {
                 task.last_alive = Some(LastAlive::restore(logged_ms, now, wall_ms));
             }
         }
     }
 
-    fn setback_key(&self, told: &TaskRestarts) -> TaskKey {
-        let TaskRestarts { occurrence, step, index, .. } = *told;
+    fn setback_key(&self, logged: &TaskRestarts) -> TaskKey {
+        let TaskRestarts { occurrence, step, index, .. } = *logged;
         TaskKey { job: self.id, occurrence, step, index }
     }
 
-    fn apply_task(&mut self, told: &TaskProgress, workers: &[Arc<str>]) {
+    fn apply_task(&mut self, logged: &TaskProgress, workers: &[Arc<str>]) {
         let submission = self.submission.clone();
-        let entry = self.occurrence(told.occurrence, &submission);
-        let Some(step) = entry.steps.get_mut(usize::from(told.step)) else { return };
-        let index = usize::try_from(told.index).unwrap_or(usize::MAX);
-        if told.is_done {
+        let entry = self.occurrence(logged.occurrence, &submission);
+        let Some(step) = entry.steps.get_mut(usize::from(logged.step)) else { return };
+        let index = usize::try_from(logged.index).unwrap_or(usize::MAX);
+        if logged.is_done {
             step.finish(index);
         }
         let Some(task) = step.tasks.get_mut(index) else { return };
-        task.run = told.run;
-        task.failures = told.failures;
-        task.checkpoint.clone_from(&told.checkpoint);
-        for (position, run) in &told.live {
+        task.run = logged.run;
+        task.failures = logged.failures;
+        task.checkpoint.clone_from(&logged.checkpoint);
+        for (position, run) in &logged.live {
             let Some(worker) = workers.get(usize::from(*position)) else { continue };
             let mut live = LiveRun::planned(worker.clone(), *run, 0);
             live.phase = RunPhase::Inherited;
-            (live.throttle, live.is_throttle_in_doubt) = (INHERITED_SHARE, true);
+            (live.throttle, live.is_throttle_in_doubt) = (INHERITED_THROTTLE, true);
             task.live.push(live);
         }
     }
@@ -347,8 +348,8 @@
         for (occurrence, run) in &self.occurrences {
             for (position, step) in run.steps.iter().enumerate() {
                 let position = u16::try_from(position).unwrap_or(u16::MAX);
-                let is_quiet = step.tasks.iter().all(|task| task.live.is_empty());
-                if step.is_done() && is_quiet {
+                let has_no_runs = step.tasks.iter().all(|task| task.live.is_empty());
+                if step.is_done() && has_no_runs {
                     progress.steps_done.push((*occurrence, position));
                     continue;
                 }
@@ -432,15 +433,15 @@
     /// Drops occurrences that are done; returns whether the whole job is.
     pub fn sweep(&mut self) -> bool {
         let submission = self.submission.clone();
-        let is_over = |run: &OccurrenceRun| {
-            let is_quiet =
+        let is_finished = |run: &OccurrenceRun| {
+            let has_no_runs =
                 run.steps.iter().all(|step| step.tasks.iter().all(|task| task.live.is_empty()));
-            run.is_done() && is_quiet
+            run.is_done() && has_no_runs
         };
         // Only from the front: the log tells how many leading occurrences are done.
         if submission.spec.schedule.is_some() {
             while let Some(first) = self.occurrences.first_entry() {
-                if !is_over(first.get()) || self.next_occurrence <= *first.key() {
+                if !is_finished(first.get()) || self.next_occurrence <= *first.key() {
                     break;
                 }
                 first.remove();
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -480,7 +480,7 @@
     fn is_within_share(&mut self, submission: &JobSubmission, now: u64) -> bool {
         let Some(organisation) = &submission.organisation else { return true };
         let weight = self.organisations.weight(organisation);
-        self.shares.try_admit(organisation, weight, now)
+        self.shares.try_take_tokens(organisation, weight, now)
     }
 
     fn cancel(&mut self, id: JobId, source: RecordSource, now: u64) {
--- a/src/scheduler/needs.rs
+++ b/src/scheduler/needs.rs
@@ -10,11 +10,11 @@
 use crate::scheduler::rank::{RankTier, rank};
 
 /// Share of a VM that can be filled on average, in percent: tasks come in sizes that leave gaps.
-const PACKED_PERCENT: u64 = 88;
+const PACKING_PERCENT: u64 = 88;
 /// VMs that a pool gets beyond its need while services must leave others in a hurry: tasks that have to
 /// be apart find no place on the VMs of their siblings, and as many go at a time as the usual budget
 /// lets.
-const LASTING_VMS: usize = 2;
+const URGENT_EXTRA_VMS: usize = 2;
 /// Share, in percent, that tasks count whose step has not begun yet.
 const UPCOMING_PERCENT: u64 = 50;
 
@@ -24,7 +24,7 @@
     /// Booked, or waiting for room.
     waiting: ResourceVector,
     /// The same, and what its jobs will ask for next.
-    booked: ResourceVector,
+    expected: ResourceVector,
     /// The services' part of it.
     services: ResourceVector,
     /// Least number of VMs for services whose tasks must be apart.
@@ -54,13 +54,13 @@
         let config = self.config.clone();
         for pool in config.pools.iter().filter(|pool| !pool.is_standby) {
             let mut need = PoolNeed::default();
-            let mut room = ResourceVector::default();
-            let mut arrived = 0;
+            let mut vm_capacity = ResourceVector::default();
+            let mut unlisted = 0;
             for worker in self.workers.values() {
                 if worker.entry.service != pool.name || !worker.is_listed {
                     continue;
                 }
-                room = worker.entry.capacity;
+                vm_capacity = worker.entry.capacity;
                 let is_usable = worker.silent_since_ms.is_none()
                     && !worker.entry.is_draining
                     && !worker.is_reserved
@@ -73,7 +73,7 @@
                 need.allocated.add(worker.used());
                 need.capacity.add(&worker.entry.capacity);
                 let vm = self.fleet.vm_of(&worker.entry.id);
-                arrived += usize::from(vm.is_none());
+                unlisted += usize::from(vm.is_none());
                 if let Some(vm) = vm.filter(|vm| vm.state == VmState::Up)
                     && self.is_drained(&worker.entry.id)
                     && !self.fleet.operations.contains_key(&vm.vm)
@@ -83,30 +83,30 @@
                 }
             }
             need.idle.sort_by_key(|(_, idle_ms)| std::cmp::Reverse(*idle_ms));
-            if room == ResourceVector::default() {
-                room = self.usual_room();
+            if vm_capacity == ResourceVector::default() {
+                vm_capacity = self.default_capacity();
             }
-            let PoolLoad { waiting, mut booked, services, apart } =
+            let PoolLoad { waiting, mut expected, services, apart } =
                 loads.get(&pool.name).cloned().unwrap_or_default();
             if let Some(arrivals) = self.fleet.arrivals.get_mut(&pool.name) {
-                let mut coming = arrivals.load(now);
-                coming.add(&services);
-                booked = booked.component_max(&coming);
+                let mut upcoming = arrivals.load(now);
+                upcoming.add(&services);
+                expected = expected.component_max(&upcoming);
             }
-            let lasting =
-                if self.fleet.urgent_pools.contains(&pool.name) { LASTING_VMS } else { 0 };
-            let apart = apart + lasting;
-            need.needed_now = vms_for(&waiting, &room).max(apart).max(1);
-            need.needed = vms_for(&booked, &room).max(need.needed_now);
+            let extra =
+                if self.fleet.urgent_pools.contains(&pool.name) { URGENT_EXTRA_VMS } else { 0 };
+            let apart = apart + extra;
+            need.needed_now = vms_for(&waiting, &vm_capacity).max(apart).max(1);
+            need.needed = vms_for(&expected, &vm_capacity).max(need.needed_now);
             // Lists can be seconds old: workers that none has shown yet are those of VMs that it shows on their way.
-            need.arriving = self.fleet.arriving(&pool.name).saturating_sub(arrived);
+            need.arriving = self.fleet.arriving(&pool.name).saturating_sub(unlisted);
             needs.insert(pool.name.clone(), need);
         }
         needs
     }
 
     /// What a VM holds where a pool has none to show it.
-    fn usual_room(&self) -> ResourceVector {
+    fn default_capacity(&self) -> ResourceVector {
         self.fleet.vms.values().map(|vm| vm.capacity).next().unwrap_or_default()
     }
 
@@ -125,10 +125,10 @@
                     if open == 0 {
                         continue;
                     }
-                    let booked: usize = step.tasks.iter().map(|task| task.live.len()).sum();
+                    let live: usize = step.tasks.iter().map(|task| task.live.len()).sum();
                     // VMs for what a cap holds back would stand idle.
                     let organisation = job.submission.organisation.as_ref();
-                    let waiting = open.saturating_sub(booked);
+                    let waiting = open.saturating_sub(live);
                     let waiting = caps.take(&self.organisations, organisation, &spec.need, waiting);
                     let is_begun = spec.after.iter().all(|before| {
                         run.steps.get(usize::from(*before)).is_some_and(|step| step.is_done())
@@ -140,9 +140,9 @@
                         (_, true) => waiting * 100,
                         (_, false) => waiting * usize::try_from(UPCOMING_PERCENT).unwrap_or(0),
                     };
-                    let wanted = u64::try_from(booked * 100 + counted).unwrap_or(0);
+                    let wanted = u64::try_from(live * 100 + counted).unwrap_or(0);
                     let all = spec.reservation().times(wanted).hundredth();
-                    load.booked.add(&all);
+                    load.expected.add(&all);
                     if is_begun {
                         load.waiting.add(&all);
                     }
@@ -162,8 +162,8 @@
 }
 
 /// VMs that a load fills.
-fn vms_for(load: &ResourceVector, room: &ResourceVector) -> usize {
-    let packed = load.times(100).dominant_share_of(&room.times(PACKED_PERCENT));
+fn vms_for(load: &ResourceVector, vm_capacity: &ResourceVector) -> usize {
+    let packed = load.times(100).dominant_share_of(&vm_capacity.times(PACKING_PERCENT));
     usize::try_from(packed.div_ceil(1_000)).unwrap_or(usize::MAX)
 }
 
--- a/src/scheduler/organisation.rs
+++ b/src/scheduler/organisation.rs
@@ -76,7 +76,7 @@
     }
 
     /// What an organisation's cap leaves of each resource; nothing for no limit at all.
-    pub fn left(&self, organisation: &Arc<str>) -> Option<ResourceVector> {
+    pub fn remaining(&self, organisation: &Arc<str>) -> Option<ResourceVector> {
         let cap = self.specs.get(organisation)?.cap;
         let limit = |cap: u64| if cap == 0 { u64::MAX } else { cap };
         let limits = ResourceVector {
@@ -91,7 +91,7 @@
 /// What caps leave for work that waits, as it is counted out task by task.
 #[derive(Debug, Default)]
 pub(crate) struct CapBudget {
-    left: HashMap<Arc<str>, ResourceVector>,
+    remaining: HashMap<Arc<str>, ResourceVector>,
 }
 
 impl CapBudget {
@@ -105,17 +105,18 @@
         wanted: usize,
     ) -> usize {
         let Some(organisation) = organisation else { return wanted };
-        if !self.left.contains_key(organisation) {
-            let Some(left) = ledger.left(organisation) else { return wanted };
-            self.left.insert(organisation.clone(), left);
+        if !self.remaining.contains_key(organisation) {
+            let Some(remaining) = ledger.remaining(organisation) else { return wanted };
+            self.remaining.insert(organisation.clone(), remaining);
         }
-        let Some(left) = self.left.get_mut(organisation) else { return wanted };
-        let part = |left: u64, need: u64| left.checked_div(need).unwrap_or(u64::MAX);
-        let fitting = part(left.cpu, need.cpu)
-            .min(part(left.memory, need.memory))
-            .min(part(left.accelerators, need.accelerators));
+        let Some(remaining) = self.remaining.get_mut(organisation) else { return wanted };
+        let count_within =
+            |remaining: u64, need: u64| remaining.checked_div(need).unwrap_or(u64::MAX);
+        let fitting = count_within(remaining.cpu, need.cpu)
+            .min(count_within(remaining.memory, need.memory))
+            .min(count_within(remaining.accelerators, need.accelerators));
         let taken = wanted.min(usize::try_from(fitting).unwrap_or(usize::MAX));
-        *left = left.saturating_sub(&need.times(u64::try_from(taken).unwrap_or(0)));
+        *remaining = remaining.saturating_sub(&need.times(u64::try_from(taken).unwrap_or(0)));
         taken
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -21,13 +21,13 @@
 /// Room that waiting services count on, by worker.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityClaims {
-    promised: BTreeMap<Arc<str>, ResourceVector>,
+    claimed: BTreeMap<Arc<str>, ResourceVector>,
     /// Room of runs that are being stopped; none where a stop is overdue. Gathered when it is first asked for.
-    coming: Option<BTreeMap<Arc<str>, Option<ResourceVector>>>,
+    releasing: Option<BTreeMap<Arc<str>, Option<ResourceVector>>>,
 }
 
 /// Runs whose end would make room on a worker, and the work thrown away.
-struct Displacement {
+struct Preemption {
     cost: u64,
     victims: Vec<(TaskKey, u32)>,
 }
@@ -41,9 +41,10 @@
     /// What is free on a worker and promised to nobody.
     pub(crate) fn unclaimed(&self, id: &Arc<str>, worker: &WorkerState) -> ResourceVector {
         let free = worker.free();
-        let Some(promised) = self.claims.promised.get(id) else { return free };
-        let coming = self.claims.coming.as_ref().and_then(|coming| coming.get(id).copied()?);
-        free.saturating_sub(&promised.saturating_sub(&coming.unwrap_or_default()))
+        let Some(claimed) = self.claims.claimed.get(id) else { return free };
+        let releasing =
+            self.claims.releasing.as_ref().and_then(|releasing| releasing.get(id).copied()?);
+        free.saturating_sub(&claimed.saturating_sub(&releasing.unwrap_or_default()))
     }
 
     /// Finds a worker on which a service task gets room once what is stopped there has ended, and stops what must be
@@ -55,15 +56,15 @@
         rank: JobRank,
         now: u64,
     ) -> Option<Arc<str>> {
-        if self.claims.coming.is_none() {
-            let coming =
-                self.workers.iter().map(|(id, worker)| (id.clone(), self.coming(worker, now)));
-            self.claims.coming = Some(coming.collect());
+        if self.claims.releasing.is_none() {
+            let releasing =
+                self.workers.iter().map(|(id, worker)| (id.clone(), self.releasing(worker, now)));
+            self.claims.releasing = Some(releasing.collect());
         }
-        let mut best: Option<(Displacement, Arc<str>)> = None;
+        let mut best: Option<(Preemption, Arc<str>)> = None;
         for (id, worker) in &self.workers {
             if &*worker.entry.service != service
-                || !worker.may_take(query.terms, now)
+                || !worker.may_take(query.isolation, now)
                 || !is_allowed(id, worker, query)
             {
                 continue;
@@ -72,8 +73,8 @@
             if self.unclaimed(id, worker).covers(&query.spec.reservation()) {
                 continue;
             }
-            let Some(room) = self.promisable(id, worker) else { continue };
-            let Some(found) = self.displacement(worker, room, query.spec, rank) else { continue };
+            let Some(free) = self.claimable(id, worker) else { continue };
+            let Some(found) = self.preemption(worker, free, query.spec, rank) else { continue };
             if best.as_ref().is_none_or(|(least, _)| found.cost < least.cost) {
                 best = Some((found, id.clone()));
             }
@@ -82,11 +83,11 @@
         for (key, run) in &found.victims {
             self.stop_run(key, *run, "displaced by a service", now);
         }
-        let coming = self.workers.get(&id).and_then(|worker| self.coming(worker, now));
-        if let Some(known) = &mut self.claims.coming {
-            known.insert(id.clone(), coming);
+        let releasing = self.workers.get(&id).and_then(|worker| self.releasing(worker, now));
+        if let Some(releasing_by_worker) = &mut self.claims.releasing {
+            releasing_by_worker.insert(id.clone(), releasing);
         }
-        self.claims.promised.entry(id.clone()).or_default().add(&query.spec.reservation());
+        self.claims.claimed.entry(id.clone()).or_default().add(&query.spec.reservation());
         Some(id)
     }
 
@@ -98,15 +99,15 @@
         rank: JobRank,
         now: u64,
     ) -> bool {
-        let mut room = worker.free();
-        room.add(&self.coming(worker, now).unwrap_or_default());
-        self.displacement(worker, room, spec, rank).is_some()
+        let mut free = worker.free();
+        free.add(&self.releasing(worker, now).unwrap_or_default());
+        self.preemption(worker, free, spec, rank).is_some()
     }
 
     /// Room of a worker's runs that are being stopped; nothing if one of them should have ended by now.
-    fn coming(&self, worker: &WorkerState, now: u64) -> Option<ResourceVector> {
-        let mut coming = ResourceVector::default();
-        for ((key, run), booked) in &worker.runs {
+    fn releasing(&self, worker: &WorkerState, now: u64) -> Option<ResourceVector> {
+        let mut releasing = ResourceVector::default();
+        for ((key, run), placed) in &worker.runs {
             let Some(live) = self.live(key, *run) else { continue };
             if live.phase != RunPhase::Stopping {
                 continue;
@@ -114,35 +115,35 @@
             if now > live.phase_since_ms + STOP_WAIT_MAX_MS {
                 return None;
             }
-            coming.add(&booked.need);
+            releasing.add(&placed.need);
         }
-        Some(coming)
+        Some(releasing)
     }
 
     /// What is free on a worker or will be soon, and promised to nobody; nothing where a stop is overdue.
-    fn promisable(&self, id: &Arc<str>, worker: &WorkerState) -> Option<ResourceVector> {
-        let coming = self.claims.coming.as_ref()?.get(id).copied()??;
-        let mut room = worker.free();
-        room.add(&coming);
-        Some(room.saturating_sub(&self.claims.promised.get(id).copied().unwrap_or_default()))
+    fn claimable(&self, id: &Arc<str>, worker: &WorkerState) -> Option<ResourceVector> {
+        let releasing = self.claims.releasing.as_ref()?.get(id).copied()??;
+        let mut free = worker.free();
+        free.add(&releasing);
+        Some(free.saturating_sub(&self.claims.claimed.get(id).copied().unwrap_or_default()))
     }
 
     /// What must be displaced on a worker with so much room to come, the least work first.
-    fn displacement(
+    fn preemption(
         &self,
         worker: &WorkerState,
-        mut room: ResourceVector,
+        mut free: ResourceVector,
         spec: &StepSpec,
         rank: JobRank,
-    ) -> Option<Displacement> {
+    ) -> Option<Preemption> {
         let need = spec.reservation();
-        let mut found = Displacement { cost: 0, victims: Vec::new() };
-        if room.covers(&need) {
+        let mut found = Preemption { cost: 0, victims: Vec::new() };
+        if free.covers(&need) {
             return Some(found);
         }
         let mut runs: Vec<(u64, TaskKey, u32, ResourceVector)> = Vec::new();
-        for ((key, run), booked) in &worker.runs {
-            if booked.is_service {
+        for ((key, run), placed) in &worker.runs {
+            if placed.is_service {
                 continue;
             }
             let job = self.jobs.get(&key.job)?;
@@ -151,15 +152,15 @@
             if priority < rank.priority || live.phase == RunPhase::Stopping {
                 continue;
             }
-            let cost = u64::from(live.percent.min(100)) * booked.need.cpu.max(1);
-            runs.push((cost, *key, *run, booked.need));
+            let cost = u64::from(live.percent.min(100)) * placed.need.cpu.max(1);
+            runs.push((cost, *key, *run, placed.need));
         }
         runs.sort_by_key(|(cost, key, run, _)| (*cost, *key, *run));
         for (cost, key, run, freed) in runs {
-            room.add(&freed);
+            free.add(&freed);
             found.cost += cost;
             found.victims.push((key, run));
-            if room.covers(&need) {
+            if free.covers(&need) {
                 return Some(found);
             }
         }
--- a/src/scheduler/rank.rs
+++ b/src/scheduler/rank.rs
@@ -13,7 +13,7 @@
 
 /// Share of the run time left, in percent, that must fit before the objective for a job to count as
 /// one that can meet it: what is expected is off either way.
-const HOPE_PERCENT: u64 = 70;
+const FEASIBLE_PERCENT: u64 = 70;
 /// Times its objective up to which a late job still is worth something.
 const LATE_FACTOR: u64 = 3;
 
@@ -45,12 +45,12 @@
 
 /// Longest chain of run times through the steps, in milliseconds; `weight` says how much of
 /// a step counts.
-fn chain_ms(steps: &[StepSpec], weight: impl Fn(usize) -> u64) -> u64 {
+fn critical_path_ms(steps: &[StepSpec], weight: impl Fn(usize) -> u64) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (position, step) in steps.iter().enumerate() {
         let earlier = step.after.iter().filter_map(|before| ends.get(usize::from(*before)));
-        let begins = earlier.copied().max().unwrap_or(0);
-        ends.push(begins + weight(position));
+        let start = earlier.copied().max().unwrap_or(0);
+        ends.push(start + weight(position));
     }
     ends.into_iter().max().unwrap_or(0)
 }
@@ -58,12 +58,12 @@
 /// Time that the tasks of a step take, in milliseconds: as those that are done or well under way show,
 /// else as expected of its queue.
 fn step_ms(spec: &StepSpec, run: Option<&StepRun>, model: &RuntimeModel) -> u64 {
-    let shown = run.and_then(|run| median_runtime_ms(run, None));
-    shown.unwrap_or_else(|| model.expected_ms(spec.estimate_ms))
+    let observed_ms = run.and_then(|run| median_runtime_ms(run, None));
+    observed_ms.unwrap_or_else(|| model.expected_ms(spec.estimate_ms))
 }
 
 /// Time that a step has left, in milliseconds, of the `whole_ms` that its tasks take.
-fn step_left_ms(run: &StepRun, whole_ms: u64, now: u64) -> u64 {
+fn remaining_ms(run: &StepRun, whole_ms: u64, now: u64) -> u64 {
     if run.is_done() {
         return 0;
     }
@@ -73,21 +73,21 @@
     }
     let begun =
         run.tasks.iter().flat_map(|task| task.live.iter()).map(|live| live.phase_since_ms).max();
-    let elapsed = begun.map_or(0, |begun| now.saturating_sub(begun));
+    let elapsed_ms = begun.map_or(0, |begun| now.saturating_sub(begun));
     // One that has outlived its time is taken to be nearly over.
-    whole_ms.saturating_sub(elapsed).max(whole_ms / 10)
+    whole_ms.saturating_sub(elapsed_ms).max(whole_ms / 10)
 }
 
 /// Time by which an occurrence should be over, and by which it is worth nothing, in milliseconds of
-/// the steady clock; `chain_ms` is the time of its longest chain of tasks.
-fn deadlines(queue: &QueueSpec, chain_ms: u64, due_ms: u64) -> (u64, u64) {
-    let objective = stretched(chain_ms, queue.stretch) + queue.objective_ms;
+/// the steady clock; `critical_path_ms` is the time of its longest chain of tasks.
+fn deadlines(queue: &QueueSpec, critical_path_ms: u64, due_ms: u64) -> (u64, u64) {
+    let objective = stretched(critical_path_ms, queue.stretch) + queue.objective_ms;
     (due_ms + objective, due_ms + objective * LATE_FACTOR)
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
-fn stretched(chain: u64, stretch: f64) -> u64 {
-    (chain as f64 * stretch.max(1.0)) as u64
+fn stretched(path_ms: u64, stretch: f64) -> u64 {
+    (path_ms as f64 * stretch.max(1.0)) as u64
 }
 
 /// Place of an occurrence's tasks in the order.
@@ -106,22 +106,22 @@
         .map(|(position, spec)| step_ms(spec, run.steps.get(position), model))
         .collect();
     let left = |position: usize| {
-        run.steps.get(position).map_or(0, |step| step_left_ms(step, whole[position], now))
+        run.steps.get(position).map_or(0, |step| remaining_ms(step, whole[position], now))
     };
-    let chain = chain_ms(steps, left);
+    let path_ms = critical_path_ms(steps, left);
     let mut work = 0;
     for (position, (spec, step)) in steps.iter().zip(&run.steps).enumerate() {
         let tasks = u64::try_from(step.tasks.len() - step.done).unwrap_or(0);
         work += tasks * spec.need.cpu.max(1) * whole[position] / 1_000;
     }
-    let entire = chain_ms(steps, |position| whole[position]);
-    let (objective, worthless) = deadlines(queue, entire, due_ms);
+    let whole_path_ms = critical_path_ms(steps, |position| whole[position]);
+    let (objective, value_end) = deadlines(queue, whole_path_ms, due_ms);
     let is_service = steps.iter().any(|step| step.is_service);
     let tier = if is_service {
         RankTier::Service
-    } else if now + chain * HOPE_PERCENT / 100 <= objective {
+    } else if now + path_ms * FEASIBLE_PERCENT / 100 <= objective {
         if job.is_beyond_share { RankTier::BeyondShare } else { RankTier::InTime }
-    } else if now + chain <= worthless {
+    } else if now + path_ms <= value_end {
         RankTier::Late
     } else {
         RankTier::Overdue
--- a/src/scheduler/runtime.rs
+++ b/src/scheduler/runtime.rs
@@ -6,7 +6,7 @@
 //! far as they have told the times that were seen.
 
 /// Part of the earlier observations that each new one leaves: some fifty steps count.
-const KEPT: f64 = 0.98;
+const DECAY_FACTOR: f64 = 0.98;
 /// Observations that the assumption counts for at the start that declared times are right.
 const PRIOR_WEIGHT: f64 = 4.0;
 /// Spread of declared times that the assumption comes with, in parts of their length.
@@ -17,31 +17,31 @@
 pub struct RuntimeModel {
     weight: f64,
     declared: f64,
-    taken: f64,
+    observed: f64,
     declared_squares: f64,
     products: f64,
 }
 
 impl RuntimeModel {
-    /// A step of tasks declared to take `declared_ms` took `taken_ms` on average.
-    pub fn record(&mut self, declared_ms: u64, taken_ms: u64) {
-        let (declared, taken) = (real(declared_ms), real(taken_ms));
+    /// A step of tasks declared to take `declared_ms` took `observed_ms` on average.
+    pub fn record(&mut self, declared_ms: u64, observed_ms: u64) {
+        let (declared, observed) = (to_float(declared_ms), to_float(observed_ms));
         if self.weight == 0.0 {
-            self.assume(declared);
+            self.seed_prior(declared);
         }
-        self.weight = self.weight * KEPT + 1.0;
-        self.declared = self.declared * KEPT + declared;
-        self.taken = self.taken * KEPT + taken;
-        self.declared_squares = self.declared_squares * KEPT + declared * declared;
-        self.products = self.products * KEPT + declared * taken;
+        self.weight = self.weight * DECAY_FACTOR + 1.0;
+        self.declared = self.declared * DECAY_FACTOR + declared;
+        self.observed = self.observed * DECAY_FACTOR + observed;
+        self.declared_squares = self.declared_squares * DECAY_FACTOR + declared * declared;
+        self.products = self.products * DECAY_FACTOR + declared * observed;
     }
 
     /// Declared times around the first one, and the same times taken.
-    fn assume(&mut self, declared: f64) {
+    fn seed_prior(&mut self, declared: f64) {
         let spread = 1.0 + PRIOR_SPREAD * PRIOR_SPREAD;
         self.weight = PRIOR_WEIGHT;
         self.declared = declared * PRIOR_WEIGHT;
-        self.taken = self.declared;
+        self.observed = self.declared;
         self.declared_squares = declared * declared * spread * PRIOR_WEIGHT;
         self.products = self.declared_squares;
     }
@@ -52,23 +52,23 @@
             return declared_ms;
         }
         let mean_declared = self.declared / self.weight;
-        let mean_taken = self.taken / self.weight;
+        let mean_observed = self.observed / self.weight;
         let variance = self.declared_squares / self.weight - mean_declared * mean_declared;
-        let covariance = self.products / self.weight - mean_declared * mean_taken;
+        let covariance = self.products / self.weight - mean_declared * mean_observed;
         // Equal declared times tell nothing of each other.
         let slope = if variance > 1.0 { (covariance / variance).clamp(0.0, 1.0) } else { 0.0 };
-        whole(mean_taken + slope * (real(declared_ms) - mean_declared))
+        to_whole(mean_observed + slope * (to_float(declared_ms) - mean_declared))
     }
 }
 
 /// Run times stay far below the 2^53 up to which a float is exact.
 #[allow(clippy::cast_precision_loss)]
-fn real(time_ms: u64) -> f64 {
+fn to_float(time_ms: u64) -> f64 {
     time_ms as f64
 }
 
 /// The cast saturates; an expectation of nothing would take a task for over.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn whole(time_ms: f64) -> u64 {
+fn to_whole(time_ms: f64) -> u64 {
     time_ms.max(1.0) as u64
 }
--- a/src/scheduler/throttle.rs
+++ b/src/scheduler/throttle.rs
@@ -12,16 +12,16 @@
 
 /// Share of a target, in percent, from which the tasks beside are slowed down. The gauge is rough
 /// and half a second old; the rest of the way is the reserve.
-const ALARM_PERCENT: u64 = 88;
+const SLOW_DOWN_PERCENT: u64 = 88;
 /// Time after which an unchanged share is sent again to a run that may yet get an older one, in milliseconds.
-const REPEAT_GAP_MS: u64 = 3_000;
+const REPEAT_INTERVAL_MS: u64 = 3_000;
 /// Share of a target, in percent, under which they may go faster.
-const CALM_PERCENT: u64 = 65;
+const SPEED_UP_PERCENT: u64 = 65;
 /// Step by which they go faster, in percent.
-const RAISE: u32 = 15;
+const SPEED_UP_STEP: u32 = 15;
 /// Time between two changes for one worker, in milliseconds: the gauge's window, and the time for a
 /// change to show in it.
-const CHANGE_GAP_MS: u64 = 600;
+const CHANGE_INTERVAL_MS: u64 = 600;
 /// A share below this is no use and becomes zero, in percent.
 const SHARE_MIN: u32 = 10;
 
@@ -30,18 +30,18 @@
     pub(crate) fn adjust_throttles(&mut self, id: &Arc<str>, running: &[RunningTask], now: u64) {
         let Some(worker) = self.workers.get(id) else { return };
         let mut best_effort = Vec::new();
-        let mut worst = 0;
-        for told in running {
-            let key = (told.task, told.run);
-            let Some(booked) = worker.runs.get(&key) else { continue };
-            if booked.is_best_effort {
+        let mut worst_percent = 0;
+        for reported in running {
+            let key = (reported.task, reported.run);
+            let Some(placed) = worker.runs.get(&key) else { continue };
+            if placed.is_best_effort {
                 best_effort.push(key);
                 continue;
             }
-            let spec = self.jobs.get(&told.task.job).and_then(|job| job.spec(&told.task));
+            let spec = self.jobs.get(&reported.task.job).and_then(|job| job.spec(&reported.task));
             let target = spec.map_or(0, |spec| spec.target_ms);
-            if let (Some(tail), true) = (told.gauge, target > 0) {
-                worst = worst.max(tail * 100 / target);
+            if let (Some(tail), true) = (reported.gauge, target > 0) {
+                worst_percent = worst_percent.max(tail * 100 / target);
             }
         }
         if best_effort.is_empty() {
@@ -49,7 +49,7 @@
         }
         let target = worker.target();
         for (task, run) in best_effort {
-            self.adjust(&target, task, run, worst, now);
+            self.adjust(&target, task, run, worst_percent, now);
         }
     }
 
@@ -58,18 +58,18 @@
         target: &crate::jobs::ports::WorkerTarget,
         task: TaskKey,
         run: u32,
-        worst: u64,
+        worst_percent: u64,
         now: u64,
     ) {
         let fence = self.fence_of(&target.id);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(state) = job.task_mut(&task) else { return };
         let Some(live) = state.live.iter_mut().find(|live| live.run == run) else { return };
-        if now < live.throttled_ms + CHANGE_GAP_MS {
+        if now < live.throttled_ms + CHANGE_INTERVAL_MS {
             return;
         }
-        let percent = next_share(live.throttle, worst);
-        let is_due = live.is_throttle_in_doubt && now >= live.throttled_ms + REPEAT_GAP_MS;
+        let percent = next_share(live.throttle, worst_percent);
+        let is_due = live.is_throttle_in_doubt && now >= live.throttled_ms + REPEAT_INTERVAL_MS;
         if percent == live.throttle && !is_due {
             return;
         }
@@ -96,15 +96,15 @@
     }
 }
 
-/// The next share for best-effort tasks beside a service whose tail is at `worst` percent of its
+/// The next share for best-effort tasks beside a service whose tail is at `worst_percent` percent of its
 /// target.
-pub fn next_share(share: u32, worst: u64) -> u32 {
-    if worst >= ALARM_PERCENT {
+pub fn next_share(share: u32, worst_percent: u64) -> u32 {
+    if worst_percent >= SLOW_DOWN_PERCENT {
         let halved = share / 2;
         return if halved < SHARE_MIN { 0 } else { halved };
     }
-    if worst < CALM_PERCENT {
-        return (share + RAISE).min(100);
+    if worst_percent < SPEED_UP_PERCENT {
+        return (share + SPEED_UP_STEP).min(100);
     }
     share
 }
--- a/src/scheduler/waits.rs
+++ b/src/scheduler/waits.rs
@@ -14,11 +14,11 @@
 use crate::scheduler::{Scheduler, SchedulerEvent};
 
 /// Time for which a task is away before it is told of, in milliseconds.
-const AWAY_MS: u64 = 3_000;
+const DOWN_MIN_MS: u64 = 3_000;
 /// Time between two lines about one task, in milliseconds.
-const TOLD_GAP_MS: u64 = 2_000;
+const LOG_INTERVAL_MS: u64 = 2_000;
 /// Time between two looks, in milliseconds.
-const LOOK_GAP_MS: u64 = 500;
+const CHECK_INTERVAL_MS: u64 = 500;
 /// Lines written after one look; the count of all tasks that are away stands in each.
 const LINES_MAX: usize = 16;
 
@@ -26,96 +26,99 @@
 #[derive(Debug, Default)]
 pub(crate) struct WaitLog {
     opened_ms: u64,
-    looked_ms: u64,
-    told: BTreeMap<TaskKey, u64>,
+    checked_ms: u64,
+    logged: BTreeMap<TaskKey, u64>,
 }
 
 impl WaitLog {
     /// One that begins now: for how long tasks were away before is not known.
     pub fn open(now: u64) -> WaitLog {
-        WaitLog { opened_ms: now, looked_ms: now, told: BTreeMap::new() }
+        WaitLog { opened_ms: now, checked_ms: now, logged: BTreeMap::new() }
     }
 }
 
 impl Scheduler {
     /// Writes down which tasks of services are away for long, and why.
     pub(crate) fn log_waits(&mut self, now: u64) {
-        if now < self.waits.looked_ms + LOOK_GAP_MS {
+        if now < self.waits.checked_ms + CHECK_INTERVAL_MS {
             return;
         }
-        let away = self.tasks_away(now);
-        let told = std::mem::take(&mut self.waits.told);
-        let is_due = |key: &TaskKey| told.get(key).is_none_or(|told| now >= told + TOLD_GAP_MS);
+        let down = self.down_tasks(now);
+        let logged = std::mem::take(&mut self.waits.logged);
+        let is_due =
+            |key: &TaskKey| logged.get(key).is_none_or(|logged| now >= logged + LOG_INTERVAL_MS);
         let due: Vec<(TaskKey, u64)> =
-            away.iter().filter(|(key, _)| is_due(key)).take(LINES_MAX).copied().collect();
-        let kept = away.iter().filter_map(|(key, _)| Some((*key, *told.get(key)?)));
-        self.waits.told = kept.chain(due.iter().map(|(key, _)| (*key, now))).collect();
-        self.waits.looked_ms = now;
-        for (key, away_ms) in due {
-            if let Some(emit) = self.wait_note(&key, away_ms, away.len(), now) {
+            down.iter().filter(|(key, _)| is_due(key)).take(LINES_MAX).copied().collect();
+        let kept = down.iter().filter_map(|(key, _)| Some((*key, *logged.get(key)?)));
+        self.waits.logged = kept.chain(due.iter().map(|(key, _)| (*key, now))).collect();
+        self.waits.checked_ms = now;
+        for (key, down_ms) in due {
+            if let Some(emit) = self.wait_event(&key, down_ms, down.len(), now) {
                 self.emit(emit);
             }
         }
     }
 
     /// Tasks of services that are wanted and have not been at work for long, and for how long, in milliseconds.
-    fn tasks_away(&self, now: u64) -> Vec<(TaskKey, u64)> {
-        let mut away = Vec::new();
+    fn down_tasks(&self, now: u64) -> Vec<(TaskKey, u64)> {
+        let mut down = Vec::new();
         for job in self.jobs.values().filter(|job| !job.state.is_final()) {
             let since_ms = job.arrived_ms.max(self.waits.opened_ms);
             let specs = &job.submission.spec.steps;
-            if now < since_ms + AWAY_MS || !specs.iter().any(is_watched) {
+            if now < since_ms + DOWN_MIN_MS || !specs.iter().any(is_logged) {
                 continue;
             }
             for (occurrence, run) in &job.occurrences {
                 for (position, step) in run.steps.iter().enumerate() {
-                    let is_open = |before: &u16| {
+                    let is_step_done = |before: &u16| {
                         run.steps.get(usize::from(*before)).is_some_and(|step| step.is_done())
                     };
-                    if !is_watched(&specs[position]) || !specs[position].after.iter().all(is_open) {
+                    if !is_logged(&specs[position])
+                        || !specs[position].after.iter().all(is_step_done)
+                    {
                         continue;
                     }
                     for (index, task) in step.tasks.iter().enumerate() {
-                        let away_ms = now.saturating_sub(task.last_serving_ms.max(since_ms));
-                        if !task.is_done && away_ms >= AWAY_MS {
-                            away.push((job.key(*occurrence, position, index), away_ms));
+                        let down_ms = now.saturating_sub(task.last_serving_ms.max(since_ms));
+                        if !task.is_done && down_ms >= DOWN_MIN_MS {
+                            down.push((job.key(*occurrence, position, index), down_ms));
                         }
                     }
                 }
             }
         }
-        away.sort_by_key(|(key, away_ms)| (std::cmp::Reverse(*away_ms), *key));
-        away
+        down.sort_by_key(|(key, down_ms)| (std::cmp::Reverse(*down_ms), *key));
+        down
     }
 
-    fn wait_note(
+    fn wait_event(
         &self,
         key: &TaskKey,
-        away_ms: u64,
-        all: usize,
+        down_ms: u64,
+        total: usize,
         now: u64,
     ) -> Option<SchedulerEvent> {
         let job = self.jobs.get(&key.job)?;
         let (spec, task) = (job.spec(key)?, job.task(key)?);
         let (reason, since_ms) = match task.live.last() {
-            Some(live) => (self.live_reason(key, live, now), live.phase_since_ms),
-            None => (self.place_reason(key, job, spec, task, now), task.waiting_since_ms),
+            Some(live) => (self.run_wait_reason(key, live, now), live.phase_since_ms),
+            None => (self.placement_wait_reason(key, job, spec, task, now), task.waiting_since_ms),
         };
         Some(SchedulerEvent::ServiceAway {
             task: *key,
             run: task.run,
             worker: task.live.last().map(|live| live.worker.clone()),
             reason,
-            away_ms,
+            away_ms: down_ms,
             open_tries: task.live.last().map_or(0, |live| live.open_tries),
             waits_ms: now.saturating_sub(since_ms.max(self.waits.opened_ms)),
             losses: task.losses,
-            all,
+            all: total,
         })
     }
 
     /// What a run that is placed waits for.
-    fn live_reason(&self, key: &TaskKey, live: &LiveRun, now: u64) -> &'static str {
+    fn run_wait_reason(&self, key: &TaskKey, live: &LiveRun, now: u64) -> &'static str {
         let Some(worker) = self.workers.get(&live.worker) else { return "its worker is not known" };
         if worker.silent_since_ms.is_some() && live.phase != RunPhase::Planned {
             return "its worker does not answer";
@@ -141,7 +144,7 @@
     }
 
     /// Why a task has no place.
-    fn place_reason(
+    fn placement_wait_reason(
         &self,
         key: &TaskKey,
         job: &JobRun,
@@ -179,41 +182,41 @@
         if !has_permits {
             return "no permits";
         }
-        if !self.has_start_room() {
+        if !self.has_start_slot() {
             return "too many starts are under way";
         }
         if !self.may_start_under_cap(key, &spec.need) {
             return "the cap of its organisation";
         }
-        if self.place_terms(key, service, spec, now).is_empty() {
+        if self.isolation_rules(key, service, spec, now).is_empty() {
             return "no worker is left for a probation";
         }
-        self.room_reason(key, spec, service, now)
+        self.capacity_wait_reason(key, spec, service, now)
     }
 
     /// Why no worker takes a task that may start.
-    fn room_reason(
+    fn capacity_wait_reason(
         &self,
         key: &TaskKey,
         spec: &StepSpec,
         service: &Arc<str>,
         now: u64,
     ) -> &'static str {
-        let (beside, racks) = self.neighbours(&key.step_key());
+        let (runs_by_worker, runs_by_rack) = self.sibling_counts(&key.step_key());
         let allowed = self.permits.get(&key.step_key()).map(|permits| &permits.allowed);
         let permitted = allowed
             .filter(|allowed| !allowed.is_empty())
             .map(|allowed| allowed.keys().cloned().collect());
-        let terms = self.place_terms(key, service, spec, now);
+        let rules = self.isolation_rules(key, service, spec, now);
         let avoided = self.avoided_now(key, spec, service, now);
         let query = PlaceQuery {
             spec,
-            beside: &beside,
-            racks: &racks,
+            runs_by_worker: &runs_by_worker,
+            runs_by_rack: &runs_by_rack,
             avoided: &avoided,
             permitted,
             rack: None,
-            terms: terms.last().copied().unwrap_or(IsolationRule::Normal),
+            isolation: rules.last().copied().unwrap_or(IsolationRule::Normal),
         };
         let waited_ms = self.waited_ms(key, now);
         if self.find_worker(service, &query, waited_ms, now).is_some() {
@@ -223,7 +226,7 @@
         if self.find_worker(service, &query, waited_ms, now).is_some() {
             return "only workers that it avoids have room";
         }
-        let query = PlaceQuery { terms: IsolationRule::Unrestricted, ..query };
+        let query = PlaceQuery { isolation: IsolationRule::Unrestricted, ..query };
         if self.probation_job(key).is_some()
             && self.find_worker(service, &query, waited_ms, now).is_some()
         {
@@ -238,6 +241,6 @@
 }
 
 /// Whether tasks of a step are told of: they are to be at work until they are cancelled.
-fn is_watched(spec: &StepSpec) -> bool {
+fn is_logged(spec: &StepSpec) -> bool {
     spec.is_service && !spec.is_best_effort
 }
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -93,7 +93,7 @@
 
 impl IsolationRule {
     /// Whether the start is one of a suspect, or beside one.
-    pub fn has_admission_check(self) -> bool {
+    pub fn is_near_suspect(self) -> bool {
         self != IsolationRule::Normal
     }
 
