--- a/src/scheduler/capacity.rs
+++ b/src/scheduler/capacity.rs
@@ -1,9 +1,10 @@
-//! Rooms of workers that change while they run: what a worker said of itself last counts.
+//! Workers whose capacity changes while they run: the latest worker entry counts.
 //!
-//! A worker without a guard starts whatever it is told to. A start that was placed when there was room, and
-//! goes out when there is none, brings it over: all that runs there is starved, and nothing refuses it. So
-//! starts that are under way are taken back when a room shrinks, and none goes out into a room that was not
-//! read for a while. None is sent, or sent again, to a worker that is known to be leaving or is not listed.
+//! A worker without an admission check starts whatever it is told to. A start that was placed while
+//! there was capacity, and goes out when there is none, overloads it: all runs there are starved,
+//! and nothing refuses the start. So starts in flight are revoked when a worker's capacity shrinks,
+//! and none goes out on a capacity that was not read recently. No start is sent, or sent again, to
+//! a worker that is known to be leaving or is not listed.
 
 use std::sync::Arc;
 
@@ -12,27 +13,28 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::job::RunPhase;
 
-/// Age up to which what workers say of themselves is acted on where they guard nothing, in milliseconds. Reads
-/// come every 0.8 s, and 0.4 s later from a slow log. A smaller room must be kept to after 3 s and a heartbeat,
-/// of which a start on its way takes half a second, and 1.2 s more through another entry.
+/// Age up to which worker entries are acted on in pools without an admission check, in
+/// milliseconds. Reads come every 0.8 s, and 0.4 s later from a slow log. A worker must keep to a
+/// smaller capacity after 3 s and a heartbeat, of which a start in flight takes half a second, and
+/// 1.2 s more through another entry.
 const CAPACITY_AGE_MAX_MS: u64 = 2_000;
 
 impl Scheduler {
-    /// What the workers say of themselves has been read through to its end, as it was at `shown_ms`.
+    /// All worker entries have been read, as of `shown_ms`.
     pub fn workers_read(&mut self, shown_ms: u64) {
         self.workers_read_ms = self.workers_read_ms.max(shown_ms);
         self.needs_dispatch = true;
     }
 
-    /// Whether starts may go by the rooms of a pool's workers.
+    /// Whether the known capacities of a pool's workers are recent enough for starts.
     pub(crate) fn is_capacity_view_fresh(&self, pool: &str, now: u64) -> bool {
         let has_admission_check =
             self.config.pool(pool).is_some_and(|pool| pool.has_admission_check);
         has_admission_check || now <= self.workers_read_ms + CAPACITY_AGE_MAX_MS
     }
 
-    /// Takes what a worker says of itself, and takes back the starts that no longer fit, the latest first, or all
-    /// if it is about to leave.
+    /// Takes a worker's new entry, and revokes the starts that no longer fit, the latest first, or
+    /// all starts if the worker is leaving.
     pub(crate) fn update_worker_entry(&mut self, entry: WorkerEntry, now: u64) {
         let id = entry.id.clone();
         let Some(worker) = self.workers.get_mut(&id) else { return };
@@ -46,8 +48,8 @@
         if !has_shrunk {
             return;
         }
-        // One that is stopped takes room until its end is known, so starts before it go too: together they
-        // would be over the room if it was carried out after all.
+        // A stopped run counts until its end is known, so earlier starts are revoked too: if the
+        // stopped one was carried out after all, they would exceed the capacity together.
         for (key, run) in self.pending_starts(&id) {
             if self.workers.get(&id).is_none_or(|worker| worker.is_within_capacity()) {
                 return;
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Takes back all starts that a worker has not answered.
+    /// Revokes all starts that a worker has not answered.
     pub(crate) fn revoke_starts(&mut self, id: &Arc<str>, reason: &'static str, now: u64) {
         for (key, run) in self.pending_starts(id) {
             self.revoke_start(&key, run, reason, now);
@@ -77,7 +79,7 @@
         pending.into_iter().map(|(_, key, run)| (key, run)).collect()
     }
 
-    /// One that was sent may be carried out yet: a stop makes the worker refuse it for good.
+    /// A start that was sent may still be carried out: a stop makes the worker refuse it for good.
     fn revoke_start(&mut self, key: &TaskKey, run: u32, reason: &'static str, now: u64) {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         let live = task.and_then(|task| task.live.iter().find(|live| live.run == run));
--- a/src/scheduler/copies.rs
+++ b/src/scheduler/copies.rs
@@ -1,4 +1,5 @@
-//! Second runs of tasks that allow copies: where the first takes far longer than its siblings, or its worker is silent.
+//! Speculative copies: second runs of tasks that allow them, where the first run takes far longer
+//! than its siblings or its worker is silent.
 
 use crate::scheduler::Scheduler;
 use crate::scheduler::dispatch::PlaceQuery;
@@ -6,14 +7,14 @@
 use crate::scheduler::stragglers::{median_runtime_ms, projected_runtime_ms};
 use crate::scheduler::worker::IsolationRule;
 
-/// Copies of a task that may run at once.
+/// Runs of a task that may be alive at once.
 const LIVE_RUNS_MAX: usize = 2;
-/// Time beyond its declared run time after which a task that allows copies gets one, in
-/// milliseconds: the notice of its end takes a while.
+/// Age from which a run may get a copy, and time that it must exceed its usual run time by, in
+/// milliseconds: the report of its end takes a while.
 const COPY_SLACK_MS: u64 = 400;
 
 impl Scheduler {
-    /// Gives tasks that allow copies and take too long, or whose worker is silent, a second run.
+    /// Starts a copy of each task that allows it and takes too long or runs on a silent worker.
     pub(crate) fn place_copies(&mut self, now: u64) {
         if !self.has_start_slot() {
             return;
@@ -70,10 +71,10 @@
         self.workers.get(worker).is_none_or(|worker| worker.silent_since_ms.is_some())
     }
 
-    /// Whether every run of a task is on a silent worker, or takes far longer than its siblings do.
+    /// Whether every run of a task is on a silent worker, or takes far longer than its siblings.
     fn is_copy_due(&self, step: &StepRun, index: usize, now: u64) -> bool {
         let Some(task) = step.tasks.get(index) else { return false };
-        // A copy of what may crash its worker would cost two.
+        // A copy of a task that may crash its worker would cost two workers.
         if task.live.is_empty() || task.live.len() >= LIVE_RUNS_MAX || task.losses.total > 0 {
             return false;
         }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,21 +1,21 @@
 //! How much work arrives for a pool.
 //!
-//! The load that this answers: a queue's demand rises to several times its mean within a second. A
-//! VM that is called for takes longer than that to come, so waiting until the work stands in line
-//! means to be late by a whole move. The rate of arrival tells the load that will stand there: work
-//! that arrives per second keeps as many cores busy.
+//! Guards against VMs that come too late: a queue's demand rises to several times its mean within a
+//! second. A VM that is called for takes longer than that to arrive, so waiting until work has
+//! queued up means being late by a whole move. The arrival rate predicts the coming load: work that
+//! arrives per second keeps as many cores busy.
 
 use crate::jobs::model::{JobSpec, ResourceVector};
 use crate::scheduler::runtime::RuntimeModel;
 
-/// Time over which arrivals are averaged, in milliseconds: a dozen jobs in a burst, and short against
-/// the time that a VM takes to change pools.
+/// Averaging time of arrivals, in milliseconds: it covers a dozen jobs in a burst, and is short
+/// against the time that a VM takes to change pools.
 const STEADY_WINDOW_MS: f64 = 600.0;
-/// The same for what has risen just now. A burst begins from one moment to the next, and each tenth of
-/// a second until its VMs are called for is lost to all jobs that arrive before they come.
+/// The same for recent rises. A burst begins abruptly, and each tenth of a second until VMs are
+/// called for is lost to all jobs that arrive before the VMs do.
 const QUICK_WINDOW_MS: f64 = 120.0;
 
-/// Work arriving per second: of each resource, the amount times the seconds that it is held.
+/// Work arriving per second: for each resource, the amount times the seconds that it is held.
 #[derive(Clone, Copy, Debug)]
 struct WorkRate {
     window_ms: f64,
@@ -24,8 +24,8 @@
     accelerators: f64,
 }
 
-/// What arrives, by the higher of two averages: the quick one shows a rise early, the steady one holds
-/// VMs over the gaps between jobs.
+/// Arrival rate of work, as the higher of two averages: the quick one shows a rise early, the
+/// steady one holds VMs over the gaps between jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivalRate {
     steady: WorkRate,
@@ -44,14 +44,14 @@
 }
 
 impl ArrivalRate {
-    /// A job has arrived, of a queue whose tasks take as long as `model` says.
+    /// Records the arrival of a job from a queue whose run times follow `model`.
     pub fn record_arrival(&mut self, spec: &JobSpec, model: &RuntimeModel, now: u64) {
         self.decay(now);
         self.steady.add_job(spec, model);
         self.quick.add_job(spec, model);
     }
 
-    /// What the work that arrives now will keep busy.
+    /// Resources that the work arriving now will keep busy.
     pub fn load(&mut self, now: u64) -> ResourceVector {
         self.decay(now);
         self.steady.load().component_max(&self.quick.load())
@@ -96,7 +96,7 @@
     }
 }
 
-/// Figures here stay far below the 2^53 up to which a float is exact.
+/// Figures stay far below 2^53, up to which a float is exact.
 #[allow(clippy::cast_precision_loss)]
 fn to_float(figure: u64) -> f64 {
     figure as f64
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Places tasks that are ready on workers with room.
+//! Places ready tasks on workers with free capacity.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use crate::scheduler::worker::{IsolationRule, WorkerState};
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
-/// Workers named in one question for permits, as the platform allows.
+/// Most workers named in one permit request; the platform allows no more.
 const PERMIT_WORKERS_MAX: usize = 100;
-/// Time after which a question for permits that had no answer is asked again, in milliseconds.
+/// Time after which an unanswered permit request is sent again, in milliseconds.
 const PERMIT_RETRY_MS: u64 = 4_000;
-/// Permits are not used in the last part of their life, in milliseconds: a start takes a while.
+/// Permits that expire within this time are not used, in milliseconds: a start takes a while.
 const PERMIT_SLACK_MS: u64 = 300;
 
 /// A step with tasks to place.
@@ -25,7 +25,7 @@
     pub waiting: Vec<TaskKey>,
 }
 
-/// What a task asks of a worker beside room.
+/// Requirements of a task on its worker, beside capacity.
 #[derive(Clone)]
 pub(crate) struct PlaceQuery<'a> {
     pub spec: &'a StepSpec,
@@ -33,18 +33,18 @@
     pub runs_by_worker: &'a BTreeMap<Arc<str>, u32>,
     /// Runs of the step by rack.
     pub runs_by_rack: &'a BTreeMap<Arc<str>, u32>,
-    /// Workers on which the task failed.
+    /// Workers on which the task should not start.
     pub avoided: &'a [Arc<str>],
-    /// Workers that may run the step; none for all.
+    /// Workers that may run the step; `None` for all.
     pub permitted: Option<Vec<Arc<str>>>,
-    /// Rack that it must be on.
+    /// Rack that the worker must be in.
     pub rack: Option<&'a str>,
-    /// On what terms it starts.
+    /// How far the start must keep apart from suspects.
     pub isolation: IsolationRule,
 }
 
 impl Scheduler {
-    /// Places what is ready, best rank first.
+    /// Places all ready tasks, best rank first.
     pub(crate) fn dispatch(&mut self, now: u64) {
         if !self.is_job_view_fresh(now) {
             if !std::mem::replace(&mut self.is_view_stale, true) {
@@ -56,7 +56,7 @@
         let largest_free = self.largest_free(now);
         let mut ready = self.ready_steps(&largest_free, now);
         ready.sort_by_key(|step| (step.rank, step.key));
-        // Once a pool has refused the smallest request, the others behind it need no look.
+        // Smallest request that each pool has refused. Larger ones are skipped without a search.
         let mut least_refused: BTreeMap<Arc<str>, ResourceVector> = BTreeMap::new();
         for step in ready {
             if !self.has_start_slot() {
@@ -90,15 +90,16 @@
         self.is_start_queue_full = !self.has_start_slot();
     }
 
-    /// Whether a part of the line has gone out since starts were held back: a look at all that waits costs
-    /// too much for every single one.
+    /// Whether starts were held back and a quarter of the allowed number has gone out since.
+    /// Ranking all waiting tasks for every single start would cost too much.
     pub(crate) fn may_place_again(&self) -> bool {
         let Some(most) = self.pace.starts_max else { return self.is_start_queue_full };
         self.is_start_queue_full && self.open_starts() * 4 <= most * 3
     }
 
-    /// Whether one more start could be sent soon. What is placed before that keeps room from tasks that
-    /// are more urgent by then, and its lease from the first moment on.
+    /// Whether one more start could be sent soon. A task that is placed earlier than that takes
+    /// capacity from tasks that are more urgent by then, and its lease runs from the moment of
+    /// placement.
     pub(crate) fn has_start_slot(&self) -> bool {
         self.pace.starts_max.is_none_or(|most| self.open_starts() < most)
     }
@@ -108,8 +109,8 @@
         job.submission.spec.steps.get(usize::from(key.step)).cloned()
     }
 
-    /// Of each resource the most that any one worker of a pool has left: what does not fit into that fits
-    /// nowhere. In a burst it spares the look at all that waits in line.
+    /// For each pool and resource, the most that any one of its workers has free. A request that
+    /// exceeds it fits on no worker, which saves most searches in a burst.
     fn largest_free(&self, now: u64) -> HashMap<Arc<str>, ResourceVector> {
         let mut largest_free: HashMap<Arc<str>, ResourceVector> = HashMap::new();
         for worker in self.workers.values().filter(|worker| worker.is_available(now)) {
@@ -124,7 +125,7 @@
         largest_free
     }
 
-    /// Steps with tasks that wait and may find a place.
+    /// Steps with waiting tasks that may find a worker.
     fn ready_steps(
         &self,
         largest_free: &HashMap<Arc<str>, ResourceVector>,
@@ -201,14 +202,14 @@
         }
     }
 
-    /// Places the waiting tasks of a step; false if one found no room.
+    /// Places the waiting tasks of a step; returns false if one found no capacity.
     fn place_tasks(&mut self, step: &ReadyStep, spec: &StepSpec, now: u64) -> bool {
         let Some(permitted) = self.permitted(step, now) else { return true };
         let (mut runs_by_worker, mut runs_by_rack) = self.relevant_sibling_counts(spec, &step.key);
-        // Tasks that will be placed once what is displaced for them has ended.
+        // Tasks to be placed once the runs preempted for them have ended.
         let mut preempting = 0;
         for key in &step.waiting {
-            // Its organisation's other tasks wait as well, and nobody else's.
+            // The organisation's cap holds back its other tasks as well, but nobody else's.
             if !self.has_start_slot()
                 || !self.may_start_under_cap(key, &spec.need.times(preempting + 1))
             {
@@ -216,7 +217,7 @@
             }
             let waited = self.waited_ms(key, now);
             let rules = self.isolation_rules(key, &step.service, spec, now);
-            // The rest of the pool is not full because a suspect has to wait.
+            // A suspect that has to wait does not mean that the pool is full.
             let Some(last) = rules.last().copied() else { continue };
             let avoided = self.avoided_now(key, spec, &step.service, now);
             let is_preemptor = may_preempt(spec);
@@ -234,7 +235,8 @@
                 && is_preemptor
                 && let Some(claimed) = self.preempt_for(&step.service, &query, step.rank, now)
             {
-                // Beside a suspect nothing else may start, so no other can count on room there.
+                // Nothing else may start beside a suspect, so no other task can use the capacity
+                // there.
                 if self.probation_job(key).is_some() && !last.is_shared() {
                     return false;
                 }
@@ -264,7 +266,7 @@
         preempting == 0
     }
 
-    /// Whether a pool has open workers beside these.
+    /// Whether a pool has available workers other than `avoided`.
     fn has_other_available(&self, service: &str, avoided: &[Arc<str>], now: u64) -> bool {
         let is_other = |id: &Arc<str>| !avoided.contains(id);
         self.workers.iter().any(|(id, worker)| {
@@ -272,13 +274,13 @@
         })
     }
 
-    /// Whether a task would rather wait than start on a VM that is not steady.
+    /// Whether a task would rather wait than start on a VM that lost a worker recently.
     fn may_keep_waiting(&self, key: &TaskKey, spec: &StepSpec, now: u64) -> bool {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         task.is_some_and(|task| self.losses.may_keep_waiting(task, spec.is_service, now))
     }
 
-    /// Whether the cap of a task's organisation leaves room for so much more.
+    /// Whether the cap of a task's organisation lets it start with this need.
     pub(crate) fn may_start_under_cap(&self, key: &TaskKey, need: &ResourceVector) -> bool {
         let organisation =
             self.jobs.get(&key.job).and_then(|job| job.submission.organisation.as_ref());
@@ -300,7 +302,8 @@
         task.map(|task| task.failed_on.clone()).unwrap_or_default()
     }
 
-    /// The same, with those of its pool that it would rather not start on now.
+    /// The same, and workers of the pool that the task should avoid for now: on VMs that lost a
+    /// worker recently, and on VMs due for maintenance.
     pub(crate) fn avoided_now(
         &self,
         key: &TaskKey,
@@ -318,8 +321,8 @@
         avoided
     }
 
-    /// Workers of a pool whose VMs have lost another one lately. A task that has lost workers would lose the next
-    /// one to a VM that goes down and up by turns.
+    /// Workers of a pool whose VMs have lost another worker recently. A task that has lost workers
+    /// would lose the next one as well to a VM that keeps going down and up.
     fn recent_loss_workers(&self, service: &str, key: &TaskKey, now: u64) -> Vec<Arc<str>> {
         let is_on_trial = self.loss_count(key).is_on_trial();
         let workers = self.workers.iter().filter(|(_, worker)| &*worker.entry.service == service);
@@ -339,7 +342,8 @@
         workers.map(|(id, _)| id.clone()).filter(|id| self.fleet.is_due(id)).collect()
     }
 
-    /// The same, where the step's places go by them.
+    /// Runs of a step by worker and by rack, for steps whose placement depends on them; empty for
+    /// others.
     fn relevant_sibling_counts(
         &self,
         spec: &StepSpec,
@@ -369,8 +373,8 @@
         (by_worker, by_rack)
     }
 
-    /// Workers that may run a step: all if its queue needs no permits (`Some(None)`), nothing while
-    /// the permits are being asked for.
+    /// Workers that may run a step: all if its queue needs no permits (`Some(None)`), `None` while
+    /// a permit request is pending.
     pub(crate) fn permitted(
         &mut self,
         step: &ReadyStep,
@@ -412,7 +416,7 @@
     ) -> Option<Arc<str>> {
         let remote_ms = remote_cost_ms(query.spec, self.bounds.remote_factor);
         let reservation = query.spec.reservation();
-        // The cheapest question first: in a burst few workers have room.
+        // The cheapest check goes first: in a burst few workers have free capacity.
         self.workers
             .iter()
             .filter(|(id, worker)| self.unclaimed(id, worker).covers(&reservation))
@@ -420,7 +424,7 @@
             .filter(|(_, worker)| worker.may_take(query.isolation, now))
             .filter(|(id, worker)| is_allowed(id, worker, query))
             .filter(|(_, worker)| {
-                // Away from its data it takes longer than a short wait for room beside it.
+                // Away from its data a task takes longer than a short wait for capacity near it.
                 is_near(worker, query.spec) || waited_ms >= remote_ms
             })
             .min_by_key(|(_, worker)| {
@@ -429,11 +433,12 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Whether a service task that is moved would find a place on another worker.
+    /// Whether a service task that is moved would find another worker.
     ///
-    /// In a hurry also where other tasks can be displaced, as in a burst no room is free for as long as
-    /// it lasts; and where some worker need not be emptied itself, only such ones count, as a task that
-    /// is moved on to the next VM of the wave uses up its budget again.
+    /// Where services must leave VMs urgently, capacity that preemption could free counts too,
+    /// since in a burst no capacity is free for as long as the burst lasts. If some worker there is
+    /// not due for maintenance itself, only such workers count: a task that is moved on to the next
+    /// VM of the wave uses up its budget again.
     pub(crate) fn may_fit_elsewhere(&self, key: &TaskKey, now: u64) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(spec) = job.spec(key) else { return false };
@@ -465,7 +470,7 @@
         })
     }
 
-    /// How badly a worker fits; the least is best.
+    /// Cost of placing the task on a worker, compared in order; the least is best.
     fn placement_cost(
         &self,
         worker: &WorkerState,
@@ -480,7 +485,7 @@
         let used_share = worker.used().dominant_share_of(&worker.entry.capacity);
         let free_share = 1_000 - used_share.min(1_000);
         if query.isolation.is_near_suspect() {
-            // What is lost with it, services first: each has a budget for being away.
+            // Cost of losing the worker, services first: each has a disruption budget.
             let has_recent_loss = u64::from(self.losses.has_recent_loss(worker.entry.address, now));
             if query.isolation.is_shared() {
                 let (losses, suspects) = worker.risk();
@@ -490,26 +495,28 @@
             return (is_far, has_recent_loss, u64::from(has_service), used_share);
         }
         if spec.is_best_effort {
-            // It lives on what is left over: the emptiest worker.
+            // Best-effort tasks use leftover processor time, so the emptiest worker is best.
             return (is_far, u64::from(rack), due, used_share);
         }
-        // A VM with a service can't be given away; the others become empty the sooner the more runs
-        // beside services, and empty ones change pools or are maintained at no cost.
+        // A VM with a service can't be given to another pool. If runs share the VMs that host
+        // services, the others become empty sooner, and empty VMs change pools or are maintained at
+        // no cost.
         let has_no_service = u64::from(!has_service);
         if spec.is_service {
-            // A move of a service counts against its budget: not to where it is moved again.
+            // Moving a service counts against its disruption budget, so VMs from which it would be
+            // moved again come last.
             return (is_far, due, has_no_service, free_share);
         }
         (is_far, has_no_service, due, free_share)
     }
 }
 
-/// Whether a step's tasks displace others where there is no room.
+/// Whether tasks of a step preempt others where no capacity is free.
 fn may_preempt(spec: &StepSpec) -> bool {
     spec.is_service && !spec.is_best_effort
 }
 
-/// Whether a step asks for nothing but room, so that its refusal tells of the whole pool.
+/// Whether a step requires nothing but capacity, so that its refusal holds for the whole pool.
 fn is_unconstrained(spec: &StepSpec) -> bool {
     spec.required_label.is_none()
         && spec.data_rack.is_none()
@@ -522,7 +529,7 @@
     spec.data_rack.as_deref().is_none_or(|rack| worker.entry.rack() == rack)
 }
 
-/// What a task loses away from its data, in milliseconds.
+/// Extra run time of a task away from its data, in milliseconds.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
 pub(crate) fn remote_cost_ms(spec: &StepSpec, factor: f64) -> u64 {
     (spec.estimate_ms as f64 * (factor - 1.0).max(0.0)) as u64
--- a/src/scheduler/downtime.rs
+++ b/src/scheduler/downtime.rs
@@ -1,14 +1,18 @@
-//! How long a task that lasts has been without a run, and on what terms it starts again.
+//! How long a service task has been without a run, and how far its next start must keep apart from
+//! suspects.
 //!
-//! A task that has lost workers is tried alone, one worker at a time and on half of a pool at most. Tasks that were lost
-//! together would come back one after the other, and the last of them late: a task that lasts must run again within
-//! seconds while there is room for it. So its whole wait is bounded, from the last sign of its last run on and over
-//! changes of leaders. After that it starts wherever there is room, as far from other suspects as there are workers. Its
-//! losses still count, and the loss of its worker still tells of it.
+//! A task that has lost workers is tried alone, one worker at a time and on at most half of a pool.
+//! Tasks that were lost together would come back one after the other, the last of them late, but a
+//! service task must run again within seconds while there is capacity. So its whole wait is
+//! bounded, counted from when its last run was last known to be alive, also across changes of
+//! leaders. After that it starts wherever there is capacity, as far from other suspects as the
+//! number of workers allows. Its losses still count, and the loss of its worker is still evidence
+//! against it.
 //!
-//! One that is given up with its next loss waits longest, and keeps off other suspects: lost together with one that
-//! crashes its workers, it would be given up for it. While its pool goes on losing workers it takes only one where no
-//! probation is under way; in a quiet pool the others need only have outlived the time in which most such crashes come.
+//! A task that is given up with its next loss waits longest and keeps away from other suspects:
+//! lost together with one that crashes its workers, it would be given up in its place. While its
+//! pool keeps losing workers it takes only a worker where no probation is in progress; in a quiet
+//! pool the other suspects need only have outlived the time in which most such crashes happen.
 
 use std::sync::Arc;
 
@@ -19,20 +23,20 @@
 use crate::scheduler::losses::LONG_CRASH_WINDOW_MS;
 use crate::scheduler::worker::IsolationRule;
 
-/// Time without a run after which a service no longer waits for a calm pool or for a worker of its own, in
-/// milliseconds: well under the six seconds in which it must be back.
+/// Downtime after which a service task no longer waits for a stable pool or for a worker of its
+/// own, in milliseconds: well under the six seconds in which it must be back.
 const SERVICE_DOWN_MAX_MS: u64 = 4_000;
-/// The same for a task that is given up with its next loss, in milliseconds. It waits that long in a pool that looks calm
-/// too.
+/// The same for a task that is given up with its next loss, in milliseconds. It waits that long
+/// also in a pool that looks stable.
 const LAST_CHANCE_DOWN_MAX_MS: u64 = 5_000;
 /// Time without a lost worker after which a pool is quiet, in milliseconds.
 const QUIET_MS: u64 = 5_000;
-/// Time without a run after which such a task starts beside any other, in milliseconds: it must be back within nine
-/// seconds whatever happens.
+/// Downtime after which such a task starts beside any other, in milliseconds: it must be back
+/// within nine seconds in any case.
 const APART_DOWN_MAX_MS: u64 = 8_000;
 
-/// Time at work of a suspect after which another one may start beside it, in milliseconds: most tasks that crash their
-/// workers do it within a second.
+/// Run time of a suspect after which another one may start beside it, in milliseconds: most tasks
+/// that crash their workers do so within a second.
 const APART_CRASH_WINDOW_MS: u64 = 800;
 
 /// When a run was last known to be alive.
@@ -40,12 +44,13 @@
 pub struct LastAlive {
     /// By the leader's steady clock, in milliseconds.
     pub at_ms: u64,
-    /// The same in milliseconds since the epoch, for the log.
+    /// In milliseconds since the epoch, for the log.
     pub wall_ms: u64,
 }
 
 impl LastAlive {
-    /// What the log tells; where it does not know, the run is taken to have been alive until now.
+    /// Restores the logged time; if it is 0 (not known), the run is assumed to have been alive
+    /// until now.
     pub fn restore(logged_ms: u64, now: u64, wall_ms: u64) -> LastAlive {
         match logged_ms {
             0 => LastAlive { at_ms: now, wall_ms },
@@ -58,8 +63,8 @@
 }
 
 impl TaskRun {
-    /// Whether a task of a service has been without a run for so long that it may wait no longer. One that never ran
-    /// has nothing to come back from.
+    /// Whether a service task has been down for so long that it may wait no longer. A task that
+    /// never ran has no downtime.
     pub(crate) fn is_overdue(&self, is_for_service: bool, now: u64) -> bool {
         let down_max_ms = match self.losses.has_one_loss_left() {
             true => LAST_CHANCE_DOWN_MAX_MS,
@@ -74,7 +79,8 @@
 }
 
 impl Scheduler {
-    /// Takes in when a run that is over was last known to be alive. A start that was refused tells nothing.
+    /// Records when a run that has ended was last known to be alive. A refused start does not
+    /// count.
     pub(crate) fn record_last_alive(&mut self, key: &TaskKey, live: &LiveRun, now: u64) {
         if !live.is_listed && !live.is_loss_counted {
             return;
@@ -87,7 +93,7 @@
         }
     }
 
-    /// Gives a task to a worker on these terms.
+    /// Plans a run on a worker under an isolation rule.
     pub(crate) fn plan_isolated_run(
         &mut self,
         isolation: IsolationRule,
@@ -103,8 +109,8 @@
         }
     }
 
-    /// The worker that fits best on the first of these terms on which any does. One that may wait no longer takes an
-    /// avoided worker before it takes worse terms.
+    /// The best worker under the first isolation rule that any worker meets. An overdue task takes
+    /// an avoided worker before a weaker rule.
     pub(crate) fn find_isolated_worker(
         &self,
         service: &str,
@@ -123,7 +129,7 @@
             }
             Some((worker?, *isolation))
         });
-        // One that may wait no longer runs away from its data rather than not at all.
+        // An overdue task runs away from its data rather than not at all.
         let may_leave_data = waited_ms < u64::MAX && rules.contains(&IsolationRule::Unrestricted);
         match found {
             None if may_leave_data => {
@@ -133,7 +139,7 @@
         }
     }
 
-    /// On what terms a task may start, the best first; none if it has to wait.
+    /// Isolation rules under which a task may start, the strictest first; empty if it has to wait.
     pub(crate) fn isolation_rules(
         &self,
         key: &TaskKey,
--- a/src/scheduler/gang.rs
+++ b/src/scheduler/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: all their tasks are placed, or none.
+//! Gang scheduling: all tasks of a gang are placed, or none.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::scheduler::worker::IsolationRule;
 
 impl Scheduler {
-    /// Places all members of a gang or none; false if there is no room.
+    /// Places all members of a gang or none; returns false if there is not enough capacity.
     pub(crate) fn place_gang(&mut self, step: &ReadyStep, spec: &StepSpec, now: u64) -> bool {
         let is_complete = step.waiting.len() == usize::try_from(spec.count).unwrap_or(0);
         if !is_complete {
@@ -54,7 +54,7 @@
         racks
     }
 
-    /// A worker for each member, on a scratch copy of what is free.
+    /// Chooses a worker for each member, on a scratch copy of the free capacities.
     fn plan_gang(
         &self,
         step: &ReadyStep,
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,4 +1,4 @@
-//! A job while its tasks are being placed, and how it is written to and read from the log.
+//! A job whose tasks are being scheduled, and its conversion to and from the logged progress.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,19 +8,20 @@
 use crate::jobs::record::{JobProgress, LossCount, TaskProgress, TaskRestarts};
 use crate::scheduler::downtime::LastAlive;
 
-/// Share of its speed from which a new leader regulates a run, in percent: what the leader before allowed is not known.
+/// Throttle that a new leader assumes for a run that it inherits, in percent of full speed: the
+/// value set by its predecessor is not known.
 const INHERITED_THROTTLE: u32 = 50;
 
-/// Where a run is in its life.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
-    /// Chosen, and not yet on the log: no start may be sent.
+    /// Placed, but not logged yet: no start may be sent.
     Planned,
-    /// On the log; the start was sent or will be, and has no answer yet.
+    /// Logged; the start was sent or will be, and has no answer yet.
     Starting,
-    /// The worker has confirmed it.
+    /// The worker has confirmed the run.
     Running,
-    /// Read from the log by a new leader; the worker has not confirmed yet that it stays.
+    /// Read from the log by a new leader; the worker has not confirmed it to this leader yet.
     Inherited,
     /// A stop was sent or will be.
     Stopping,
@@ -29,39 +30,39 @@
 /// One run of a task that may be alive.
 #[derive(Clone, Debug)]
 pub struct LiveRun {
-    /// Worker that it is on.
+    /// Worker of the run.
     pub worker: Arc<str>,
     /// Run number.
     pub run: u32,
-    /// Where it is in its life.
+    /// Phase of the run.
     pub phase: RunPhase,
-    /// When it entered the phase, in milliseconds.
+    /// When the run entered its phase, in milliseconds.
     pub phase_since_ms: u64,
     /// When the start or stop may be sent again, in milliseconds.
     pub retry_ms: u64,
-    /// Latest progress that the worker told, in percent.
+    /// Latest progress that the worker reported, in percent.
     pub percent: u32,
     /// When the progress last rose, in milliseconds.
     pub progress_ms: u64,
-    /// When it was first confirmed, in milliseconds.
+    /// When the run was first confirmed, in milliseconds.
     pub begun_ms: u64,
     /// When the worker answered the start or stop of this phase, in milliseconds.
     pub answered_ms: Option<u64>,
     /// Whether a start was handed out to be sent.
     pub is_sent: bool,
-    /// Whether its worker has listed it as running.
+    /// Whether the worker has listed the run as running.
     pub is_listed: bool,
-    /// When it last did, in milliseconds.
+    /// When the worker last listed the run, in milliseconds.
     pub last_listed_ms: u64,
-    /// Whether the loss of a worker that may have had it was counted.
+    /// Whether the loss of a worker that may have had this run was counted.
     pub is_loss_counted: bool,
-    /// Whether a start had no answer: it may be carried out seconds later.
+    /// Whether a start had no answer: it may still be carried out seconds later.
     pub is_in_doubt: bool,
-    /// Tries of its start that were handed out to be sent and whose outcome is not known yet.
+    /// Start attempts that were handed out to be sent and whose outcome is not known yet.
     pub open_tries: u32,
     /// Stops that were handed out to be sent.
     pub stops: u32,
-    /// Share of its speed that it may use, in percent.
+    /// Share of its full speed that the run may use, in percent.
     pub throttle: u32,
     /// When the throttle was last sent, in milliseconds.
     pub throttled_ms: u64,
@@ -70,7 +71,7 @@
 }
 
 impl LiveRun {
-    /// A run that is chosen now.
+    /// A run that is placed now.
     pub fn planned(worker: Arc<str>, run: u32, now: u64) -> LiveRun {
         LiveRun {
             worker,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Whether a try of its start may yet be carried out, whatever became of the others.
+    /// Whether an attempt of its start may still be carried out, whatever became of the others.
     pub fn may_start_late(&self) -> bool {
         self.is_in_doubt || self.open_tries > 0
     }
@@ -110,14 +111,14 @@
     }
 }
 
-/// A task.
+/// State of a task.
 #[derive(Clone, Debug, Default)]
 pub struct TaskRun {
     /// Highest run number given out.
     pub run: u32,
     /// Runs that ended in failure.
     pub failures: u32,
-    /// Whether it is done.
+    /// Whether the task is done.
     pub is_done: bool,
     /// Runs that may be alive.
     pub live: Vec<LiveRun>,
@@ -125,42 +126,42 @@
     pub checkpoint: String,
     /// Earliest time of the next start, in milliseconds.
     pub not_before_ms: u64,
-    /// When it became ready to be placed or last ended, in milliseconds.
+    /// When the task became ready to be placed or its last run ended, in milliseconds.
     pub waiting_since_ms: u64,
-    /// Times that it was moved for being slow or stalled.
+    /// Times that the task was moved for being slow or stalled.
     pub moves: u32,
-    /// Time that its last run took, in milliseconds, once it is done.
+    /// Run time of the last run, in milliseconds; set once the task is done.
     pub took_ms: Option<u64>,
     /// Latest run that failed.
     pub failed_run: u32,
-    /// Workers on which it failed.
+    /// Workers on which the task failed.
     pub failed_on: Vec<Arc<str>>,
-    /// Workers that were lost under it.
+    /// Workers that were lost while they ran the task.
     pub losses: LossCount,
-    /// Services only: when it was last at work, in milliseconds.
+    /// When the task was last serving, in milliseconds; services only.
     pub last_serving_ms: u64,
-    /// When its last run was last known to be alive.
+    /// When the last run was last known to be alive.
     pub last_alive: Option<LastAlive>,
 }
 
 impl TaskRun {
-    /// Whether a run is on its way or at work.
+    /// Whether the task has a run that may be alive.
     pub fn has_live_run(&self) -> bool {
         !self.live.is_empty()
     }
 
-    /// Whether a service task is at work.
+    /// Whether a service task is serving: running, with its startup complete.
     pub fn is_serving(&self) -> bool {
         self.live.iter().any(|live| live.phase == RunPhase::Running && live.percent >= 100)
     }
 }
 
-/// A step of one occurrence.
+/// State of a step in one occurrence.
 #[derive(Clone, Debug)]
 pub struct StepRun {
-    /// Its tasks.
+    /// Tasks of the step.
     pub tasks: Vec<TaskRun>,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: usize,
 }
 
@@ -175,7 +176,7 @@
         self.done >= self.tasks.len()
     }
 
-    /// Marks a task done; returns whether it was not before.
+    /// Marks a task done; returns whether it was not done before.
     pub fn finish(&mut self, index: usize) -> bool {
         let Some(task) = self.tasks.get_mut(index) else { return false };
         if std::mem::replace(&mut task.is_done, true) {
@@ -186,10 +187,10 @@
     }
 }
 
-/// One run of a job's steps.
+/// One run of all steps of a job.
 #[derive(Clone, Debug)]
 pub struct OccurrenceRun {
-    /// Steps.
+    /// Steps, in the order of the job's spec.
     pub steps: Vec<StepRun>,
 }
 
@@ -204,29 +205,30 @@
     }
 }
 
-/// A job that is not over, or of which runs may still be alive.
+/// A job that is not finished, or of which runs may still be alive.
 #[derive(Clone, Debug)]
 pub struct JobRun {
-    /// Its id.
+    /// Id of the job.
     pub id: JobId,
-    /// What it is.
+    /// The submission as accepted.
     pub submission: Arc<JobSubmission>,
-    /// State for callers, as it will be on the log.
+    /// State for callers; the log gets it with the next progress record.
     pub state: JobState,
-    /// When it arrived, in milliseconds of the leader's steady clock.
+    /// When the job arrived, in milliseconds of the leader's steady clock.
     pub arrived_ms: u64,
-    /// When its state became final, in milliseconds since the epoch.
+    /// When the state became final, in milliseconds since the epoch.
     pub ended_wall_ms: u64,
     /// Occurrences that have begun and are not done.
     pub occurrences: BTreeMap<u32, OccurrenceRun>,
-    /// Occurrences from here on have not begun.
+    /// First occurrence that has not begun.
     pub next_occurrence: u32,
-    /// Whether it came beyond its organisation's share.
+    /// Whether the job arrived beyond its organisation's share.
     pub is_beyond_share: bool,
 }
 
 impl JobRun {
-    /// A job that the log knows, with what it tells of its progress.
+    /// Restores a job from its logged submission and progress; `None` if the log lacks the
+    /// submission or a state.
     pub fn restore(id: JobId, job: &LoggedJob, arrived_ms: u64) -> Option<JobRun> {
         let submission = job.submission.clone()?;
         let mut run = JobRun {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Takes in what the log tells of when its tasks were last known to run.
+    /// Restores when the tasks' runs were last known to be alive.
     pub(crate) fn restore_last_alive(&mut self, job: &LoggedJob, now: u64, wall_ms: u64) {
         let Some(progress) = &job.progress else { return };
         let lost =
@@ -315,7 +317,7 @@
     }
 
     /// Begins the occurrences that are due, as far as the bound on tasks allows; returns whether
-    /// there were any. Those that come faster than they are done wait for the ones before.
+    /// there were any. Occurrences that come faster than they are done wait for earlier ones.
     pub fn begin_due(&mut self, wall_ms: u64) -> bool {
         let mut has_begun = false;
         let submission = self.submission.clone();
@@ -330,7 +332,7 @@
         has_begun
     }
 
-    /// What goes to the log.
+    /// The progress record for the log.
     pub fn progress(&self, term: u64) -> JobProgress {
         let mut progress = JobProgress {
             term,
@@ -364,7 +366,7 @@
         self.step(key)?.tasks.get(usize::try_from(key.index).ok()?)
     }
 
-    /// A task by its key, to change it.
+    /// A mutable task by its key.
     pub fn task_mut(&mut self, key: &TaskKey) -> Option<&mut TaskRun> {
         let index = usize::try_from(key.index).ok()?;
         self.step_mut(key)?.tasks.get_mut(index)
@@ -375,17 +377,17 @@
         self.occurrences.get(&key.occurrence)?.steps.get(usize::from(key.step))
     }
 
-    /// The step of a task, to change it.
+    /// The mutable step of a task.
     pub fn step_mut(&mut self, key: &TaskKey) -> Option<&mut StepRun> {
         self.occurrences.get_mut(&key.occurrence)?.steps.get_mut(usize::from(key.step))
     }
 
-    /// What a task's step asks for.
+    /// The spec of a task's step.
     pub fn spec(&self, key: &TaskKey) -> Option<&StepSpec> {
         self.submission.spec.steps.get(usize::from(key.step))
     }
 
-    /// A task that has lost as many workers as it may, if any has.
+    /// A task that has lost as many workers as a task may, if there is one.
     pub(crate) fn exhausted_task(&self) -> Option<TaskKey> {
         for (occurrence, run) in &self.occurrences {
             for (position, step) in run.steps.iter().enumerate() {
@@ -398,7 +400,7 @@
         None
     }
 
-    /// What its tasks that are not done have lost.
+    /// Loss counts of the tasks that are not done.
     pub(crate) fn open_losses(&self) -> impl Iterator<Item = &LossCount> {
         let steps = self.occurrences.values().flat_map(|run| &run.steps);
         let open = steps.flat_map(|step| &step.tasks).filter(|task| !task.is_done);
@@ -430,7 +432,7 @@
         }
     }
 
-    /// Drops occurrences that are done; returns whether the whole job is.
+    /// Drops occurrences that are done; returns whether the whole job is done.
     pub fn sweep(&mut self) -> bool {
         let submission = self.submission.clone();
         let is_finished = |run: &OccurrenceRun| {
@@ -438,7 +440,7 @@
                 run.steps.iter().all(|step| step.tasks.iter().all(|task| task.live.is_empty()));
             run.is_done() && has_no_runs
         };
-        // Only from the front: the log tells how many leading occurrences are done.
+        // Only from the front: the log keeps the number of leading occurrences that are done.
         if submission.spec.schedule.is_some() {
             while let Some(first) = self.occurrences.first_entry() {
                 if !is_finished(first.get()) || self.next_occurrence <= *first.key() {
--- a/src/scheduler/needs.rs
+++ b/src/scheduler/needs.rs
@@ -9,41 +9,41 @@
 use crate::scheduler::organisation::CapBudget;
 use crate::scheduler::rank::{RankTier, rank};
 
-/// Share of a VM that can be filled on average, in percent: tasks come in sizes that leave gaps.
+/// Share of a VM that can be filled on average, in percent: task sizes leave gaps.
 const PACKING_PERCENT: u64 = 88;
-/// VMs that a pool gets beyond its need while services must leave others in a hurry: tasks that have to
-/// be apart find no place on the VMs of their siblings, and as many go at a time as the usual budget
-/// lets.
+/// Extra VMs of a pool while its services must leave VMs urgently. Tasks that must be apart find no
+/// place on the VMs of their siblings, and as many of them move at a time as the usual disruption
+/// budget allows.
 const URGENT_EXTRA_VMS: usize = 2;
-/// Share, in percent, that tasks count whose step has not begun yet.
+/// Weight of tasks whose step has not begun yet, in percent.
 const UPCOMING_PERCENT: u64 = 50;
 
-/// What the jobs of a pool take.
+/// Load of a pool's jobs.
 #[derive(Clone, Debug, Default)]
 struct PoolLoad {
-    /// Booked, or waiting for room.
+    /// Reserved, or waiting for capacity.
     waiting: ResourceVector,
-    /// The same, and what its jobs will ask for next.
+    /// The same, and the upcoming requests of its jobs.
     expected: ResourceVector,
-    /// The services' part of it.
+    /// Part of `expected` that is for services.
     services: ResourceVector,
     /// Least number of VMs for services whose tasks must be apart.
     apart: usize,
 }
 
-/// What a pool has and needs, in VMs.
+/// VMs that a pool has and needs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolNeed {
-    /// For what runs and what waits.
+    /// For running and waiting work.
     pub(crate) needed_now: usize,
-    /// For what is expected too.
+    /// For expected work too.
     pub(crate) needed: usize,
     pub(crate) usable: usize,
-    /// On their way.
+    /// VMs on their way to the pool.
     pub(crate) arriving: usize,
     pub(crate) allocated: ResourceVector,
     pub(crate) capacity: ResourceVector,
-    /// Empty VMs that it can give away, and for how long they have idled, in milliseconds.
+    /// Empty VMs that the pool can give away, and for how long they have idled, in milliseconds.
     pub(crate) idle: Vec<(Arc<str>, u64)>,
 }
 
@@ -98,14 +98,15 @@
             let apart = apart + extra;
             need.needed_now = vms_for(&waiting, &vm_capacity).max(apart).max(1);
             need.needed = vms_for(&expected, &vm_capacity).max(need.needed_now);
-            // Lists can be seconds old: workers that none has shown yet are those of VMs that it shows on their way.
+            // The VM list can be seconds old: workers whose VM it does not show yet belong to VMs
+            // that it shows as on their way.
             need.arriving = self.fleet.arriving(&pool.name).saturating_sub(unlisted);
             needs.insert(pool.name.clone(), need);
         }
         needs
     }
 
-    /// What a VM holds where a pool has none to show it.
+    /// Capacity of a VM, for pools that have none yet.
     fn default_capacity(&self) -> ResourceVector {
         self.fleet.vms.values().map(|vm| vm.capacity).next().unwrap_or_default()
     }
@@ -126,15 +127,15 @@
                         continue;
                     }
                     let live: usize = step.tasks.iter().map(|task| task.live.len()).sum();
-                    // VMs for what a cap holds back would stand idle.
+                    // VMs for tasks that a cap holds back would stand idle.
                     let organisation = job.submission.organisation.as_ref();
                     let waiting = open.saturating_sub(live);
                     let waiting = caps.take(&self.organisations, organisation, &spec.need, waiting);
                     let is_begun = spec.after.iter().all(|before| {
                         run.steps.get(usize::from(*before)).is_some_and(|step| step.is_done())
                     });
-                    // What is late already is worth little, and what comes beyond a share must cost the
-                    // others nothing: both take what is there.
+                    // Late jobs have little value, and jobs beyond a share must not cost the others
+                    // anything: both use the VMs that are there.
                     let counted = match (tier, is_begun) {
                         (RankTier::BeyondShare | RankTier::Late | RankTier::Overdue, _) => 0,
                         (_, true) => waiting * 100,
@@ -170,9 +171,9 @@
 /// What a VM is needed for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NeedKind {
-    /// Work that runs or waits.
+    /// Running or waiting work.
     Now,
-    /// Work that is expected.
+    /// Expected work.
     Soon,
 }
 
@@ -198,7 +199,7 @@
     needs.values().any(|need| need.shortage(NeedKind::Now) > 0)
 }
 
-/// Takes an empty VM from the pool that can best spare one.
+/// Takes an empty VM from the pool with the largest surplus.
 pub(crate) fn take_idle_vm(
     needs: &mut BTreeMap<Arc<str>, PoolNeed>,
     to: &str,
--- a/src/scheduler/organisation.rs
+++ b/src/scheduler/organisation.rs
@@ -1,11 +1,12 @@
 //! What each organisation has running, and what its cap leaves.
 //!
-//! The load that this answers: an organisation sends far more than it may have running, or its cap falls far
-//! below what runs. Its tasks wait then, and those of others behind them are placed as if they were not there.
+//! Guards against an organisation that sends far more than it may have running, or whose cap falls
+//! far below what is running. Its tasks wait then, and those of others behind them are placed as if
+//! its tasks were not there.
 //!
-//! A run counts from the moment it is chosen until it is known to be over, whatever is in doubt about it
-//! meanwhile: so what workers have is never more than what is counted, over changes of leaders as well, as
-//! runs are on the log before they start. The sums are kept as runs are booked and taken off.
+//! A run counts from its placement until it is known to be over, however much is in doubt about it
+//! meanwhile. So workers never run more than is counted, also across changes of leaders, as runs
+//! are logged before they start. The sums are updated with each run that is added or removed.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,32 +15,32 @@
 use crate::jobs::model::ResourceVector;
 use crate::jobs::site::SiteConfig;
 
-/// What one organisation has running.
+/// Usage of one organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OrganisationUse {
-    /// Booked for its runs.
+    /// Resources of its runs.
     pub used: ResourceVector,
-    /// Runs.
+    /// Number of its runs.
     pub runs: usize,
 }
 
-/// What all organisations have running, and what they may.
+/// Usage and caps of all organisations.
 #[derive(Debug, Default)]
 pub(crate) struct OrganisationLedger {
     uses: BTreeMap<Arc<str>, OrganisationUse>,
-    /// As configured now, or last: jobs of an organisation that is gone run on under its last cap.
+    /// As last configured: jobs of an organisation that was removed run on under its last cap.
     specs: HashMap<Arc<str>, OrganisationSpec>,
 }
 
 impl OrganisationLedger {
-    /// Takes the organisations of a configuration.
+    /// Takes the organisations of a configuration; those that it lacks are kept.
     pub fn configure(&mut self, config: &SiteConfig) {
         for organisation in config.access.iter().flat_map(|access| access.iter()) {
             self.specs.insert(organisation.name.clone(), organisation.clone());
         }
     }
 
-    /// A run is chosen, or read from the log.
+    /// Counts a run that was placed or read from the log.
     pub fn add_run(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
         let Some(organisation) = organisation else { return };
         let entry = self.uses.entry(organisation.clone()).or_default();
@@ -47,19 +48,19 @@
         entry.runs += 1;
     }
 
-    /// A run is over.
+    /// Removes a run that is over.
     pub fn remove_run(&mut self, organisation: Option<&Arc<str>>, need: &ResourceVector) {
         let Some(entry) = organisation.and_then(|name| self.uses.get_mut(name)) else { return };
         entry.used = entry.used.saturating_sub(need);
         entry.runs = entry.runs.saturating_sub(1);
     }
 
-    /// What an organisation has running.
+    /// Usage of an organisation.
     pub fn usage(&self, organisation: &str) -> OrganisationUse {
         self.uses.get(organisation).copied().unwrap_or_default()
     }
 
-    /// Every organisation that is known.
+    /// Every known organisation, including removed ones.
     pub fn specs(&self) -> impl Iterator<Item = &OrganisationSpec> {
         self.specs.values()
     }
@@ -69,13 +70,15 @@
         self.specs.get(organisation).map_or(0.0, |spec| spec.weight)
     }
 
-    /// Whether an organisation may have so much more running. Jobs of a queue that is open to all have no cap.
+    /// Whether an organisation may start a task of this need. Jobs of a queue that is open to all
+    /// have no cap.
     pub fn may_start(&self, organisation: Option<&Arc<str>>, need: &ResourceVector) -> bool {
         let Some(spec) = organisation.and_then(|name| self.specs.get(name)) else { return true };
         may_start(&spec.cap, &self.usage(&spec.name).used, need)
     }
 
-    /// What an organisation's cap leaves of each resource; nothing for no limit at all.
+    /// What an organisation's cap leaves of each resource, `u64::MAX` where it has no limit; `None`
+    /// for an unknown organisation.
     pub fn remaining(&self, organisation: &Arc<str>) -> Option<ResourceVector> {
         let cap = self.specs.get(organisation)?.cap;
         let limit = |cap: u64| if cap == 0 { u64::MAX } else { cap };
@@ -88,15 +91,15 @@
     }
 }
 
-/// What caps leave for work that waits, as it is counted out task by task.
+/// What caps leave for waiting work, reduced task by task as it is counted.
 #[derive(Debug, Default)]
 pub(crate) struct CapBudget {
     remaining: HashMap<Arc<str>, ResourceVector>,
 }
 
 impl CapBudget {
-    /// How many of `wanted` tasks of this need could run now; what they take is not left for others of their
-    /// organisation.
+    /// How many of `wanted` tasks of this need could run now; their resources are no longer left
+    /// for other tasks of the organisation.
     pub fn take(
         &mut self,
         ledger: &OrganisationLedger,
@@ -121,8 +124,8 @@
     }
 }
 
-/// Whether a task of this need may start under a cap with so much in use: it fits, or not half of any limit is
-/// in use. A task that is larger than what half of a cap leaves could else never run.
+/// Whether a task of this need may start under a cap with so much in use: it fits, or less than
+/// half of every limit is in use. Otherwise a task larger than half of a cap might never run.
 pub(crate) fn may_start(
     cap: &ResourceVector,
     used: &ResourceVector,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,8 +1,9 @@
-//! Room for services on workers that are full: tasks that may be displaced are stopped.
+//! Preemption: stops other tasks to free capacity for services on full workers.
 //!
-//! Services that were lost together need room together, and a stop takes a while. So each is promised the room of
-//! what is stopped for it, and the next one counts on other room. Promises last for one look at all that waits; the
-//! next look makes them anew, first of the room that is being made already.
+//! Services that were lost together need capacity together, and a stop takes a while. So each
+//! claims the capacity of the runs that are stopped for it, and the next one needs other capacity.
+//! Claims last for one placement round; the next round makes them anew, first on capacity that is
+//! being freed already.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,31 +15,31 @@
 use crate::scheduler::rank::JobRank;
 use crate::scheduler::worker::WorkerState;
 
-/// Time after which the room of a run that is being stopped is not counted on, in milliseconds: its stops may all be
-/// lost.
+/// Time after which the capacity of a run that is being stopped is no longer counted on, in
+/// milliseconds: all its stops may be lost.
 const STOP_WAIT_MAX_MS: u64 = 1_500;
 
-/// Room that waiting services count on, by worker.
+/// Capacity that waiting services count on, by worker.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityClaims {
     claimed: BTreeMap<Arc<str>, ResourceVector>,
-    /// Room of runs that are being stopped; none where a stop is overdue. Gathered when it is first asked for.
+    /// Capacity of runs that are being stopped; `None` for a worker with an overdue stop. Computed
+    /// when it is first needed.
     releasing: Option<BTreeMap<Arc<str>, Option<ResourceVector>>>,
 }
 
-/// Runs whose end would make room on a worker, and the work thrown away.
+/// Runs whose end would free enough capacity on a worker, and the cost of the lost work.
 struct Preemption {
     cost: u64,
     victims: Vec<(TaskKey, u32)>,
 }
 
 impl Scheduler {
-    /// Drops all promises.
     pub(crate) fn clear_claims(&mut self) {
         self.claims = CapacityClaims::default();
     }
 
-    /// What is free on a worker and promised to nobody.
+    /// Free capacity of a worker that no waiting service has claimed.
     pub(crate) fn unclaimed(&self, id: &Arc<str>, worker: &WorkerState) -> ResourceVector {
         let free = worker.free();
         let Some(claimed) = self.claims.claimed.get(id) else { return free };
@@ -47,8 +48,9 @@
         free.saturating_sub(&claimed.saturating_sub(&releasing.unwrap_or_default()))
     }
 
-    /// Finds a worker on which a service task gets room once what is stopped there has ended, and stops what must be
-    /// displaced for it beside that; nothing if none would help.
+    /// Finds a worker on which a service task gets capacity once runs there have been stopped, and
+    /// stops those that must be preempted beside the ones already stopping; `None` if no worker
+    /// would do.
     pub(crate) fn preempt_for(
         &mut self,
         service: &str,
@@ -69,7 +71,8 @@
             {
                 continue;
             }
-            // Left out for another reason than room: nothing that is stopped there would help.
+            // It was rejected for another reason than capacity, so stopping runs there would not
+            // help.
             if self.unclaimed(id, worker).covers(&query.spec.reservation()) {
                 continue;
             }
@@ -91,7 +94,7 @@
         Some(id)
     }
 
-    /// Whether a worker has room for a service task, or would if other tasks were displaced.
+    /// Whether a worker has capacity for a service task, or would have after preemption.
     pub(crate) fn may_preempt_for(
         &self,
         worker: &WorkerState,
@@ -104,7 +107,8 @@
         self.preemption(worker, free, spec, rank).is_some()
     }
 
-    /// Room of a worker's runs that are being stopped; nothing if one of them should have ended by now.
+    /// Capacity of a worker's runs that are being stopped; `None` if one of them should have ended
+    /// by now.
     fn releasing(&self, worker: &WorkerState, now: u64) -> Option<ResourceVector> {
         let mut releasing = ResourceVector::default();
         for ((key, run), placed) in &worker.runs {
@@ -120,7 +124,8 @@
         Some(releasing)
     }
 
-    /// What is free on a worker or will be soon, and promised to nobody; nothing where a stop is overdue.
+    /// Capacity of a worker that is free or will be soon, and not claimed; `None` with an overdue
+    /// stop.
     fn claimable(&self, id: &Arc<str>, worker: &WorkerState) -> Option<ResourceVector> {
         let releasing = self.claims.releasing.as_ref()?.get(id).copied()??;
         let mut free = worker.free();
@@ -128,7 +133,8 @@
         Some(free.saturating_sub(&self.claims.claimed.get(id).copied().unwrap_or_default()))
     }
 
-    /// What must be displaced on a worker with so much room to come, the least work first.
+    /// The runs to preempt on a worker with this much capacity free now or soon, least work first;
+    /// `None` if that is not enough.
     fn preemption(
         &self,
         worker: &WorkerState,
--- a/src/scheduler/rank.rs
+++ b/src/scheduler/rank.rs
@@ -1,9 +1,10 @@
-//! In which order jobs get room.
+//! Order in which jobs get capacity.
 //!
-//! The load that this answers: a queue asks several times its mean for some seconds, more than its
-//! pool holds. Served in order of arrival, every job would wait for all the work before it and miss
-//! its objective. So what can still meet its objective goes before what can't, and among these the
-//! job with the least work left: it frees its room soonest, and most jobs are in time.
+//! Guards against bursts: for some seconds a queue asks for several times its mean, more than its
+//! pool holds. Served in order of arrival, every job would wait for all work before it and miss its
+//! objective. So jobs that can still meet their objective go before those that can't, and among
+//! these the job with the least work left goes first: it frees its capacity soonest, and most jobs
+//! are in time.
 
 use crate::jobs::model::{JobState, StepSpec};
 use crate::jobs::site::QueueSpec;
@@ -11,28 +12,28 @@
 use crate::scheduler::runtime::RuntimeModel;
 use crate::scheduler::stragglers::median_runtime_ms;
 
-/// Share of the run time left, in percent, that must fit before the objective for a job to count as
-/// one that can meet it: what is expected is off either way.
+/// A job counts as able to meet its objective if this share of its expected remaining run time fits
+/// before the objective, in percent: expected run times are off either way.
 const FEASIBLE_PERCENT: u64 = 70;
-/// Times its objective up to which a late job still is worth something.
+/// A late job still has value up to this multiple of its objective.
 const LATE_FACTOR: u64 = 3;
 
-/// How urgent the tasks of an occurrence are.
+/// Urgency of an occurrence's tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RankTier {
-    /// Services: each second that one is away counts.
+    /// Services: each second of downtime counts.
     Service,
     /// Can meet the objective.
     InTime,
-    /// Could, and came beyond its organisation's share.
+    /// Can meet the objective, but arrived beyond its organisation's share.
     BeyondShare,
-    /// Late, and still worth something.
+    /// Late, but still of value.
     Late,
-    /// Far too late.
+    /// Too late to be of value.
     Overdue,
 }
 
-/// Place in the order; the least goes first.
+/// Position in the order; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
     /// Priority of the queue.
@@ -43,8 +44,8 @@
     pub work: u64,
 }
 
-/// Longest chain of run times through the steps, in milliseconds; `weight` says how much of
-/// a step counts.
+/// Critical path through the steps, in milliseconds; `weight` gives the time that each step counts
+/// for.
 fn critical_path_ms(steps: &[StepSpec], weight: impl Fn(usize) -> u64) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (position, step) in steps.iter().enumerate() {
@@ -55,14 +56,14 @@
     ends.into_iter().max().unwrap_or(0)
 }
 
-/// Time that the tasks of a step take, in milliseconds: as those that are done or well under way show,
-/// else as expected of its queue.
+/// Run time of a step's tasks, in milliseconds: as shown by tasks that are done or well under way,
+/// else as expected of the queue.
 fn step_ms(spec: &StepSpec, run: Option<&StepRun>, model: &RuntimeModel) -> u64 {
     let observed_ms = run.and_then(|run| median_runtime_ms(run, None));
     observed_ms.unwrap_or_else(|| model.expected_ms(spec.estimate_ms))
 }
 
-/// Time that a step has left, in milliseconds, of the `whole_ms` that its tasks take.
+/// Time that a step has left, in milliseconds, if its tasks take `whole_ms`.
 fn remaining_ms(run: &StepRun, whole_ms: u64, now: u64) -> u64 {
     if run.is_done() {
         return 0;
@@ -74,12 +75,12 @@
     let begun =
         run.tasks.iter().flat_map(|task| task.live.iter()).map(|live| live.phase_since_ms).max();
     let elapsed_ms = begun.map_or(0, |begun| now.saturating_sub(begun));
-    // One that has outlived its time is taken to be nearly over.
+    // A task that exceeds its run time is assumed to be nearly done.
     whole_ms.saturating_sub(elapsed_ms).max(whole_ms / 10)
 }
 
-/// Time by which an occurrence should be over, and by which it is worth nothing, in milliseconds of
-/// the steady clock; `critical_path_ms` is the time of its longest chain of tasks.
+/// Time by which an occurrence should be done and time from which it has no value, in milliseconds
+/// of the steady clock; `critical_path_ms` is the length of its critical path.
 fn deadlines(queue: &QueueSpec, critical_path_ms: u64, due_ms: u64) -> (u64, u64) {
     let objective = stretched(critical_path_ms, queue.stretch) + queue.objective_ms;
     (due_ms + objective, due_ms + objective * LATE_FACTOR)
@@ -90,7 +91,7 @@
     (path_ms as f64 * stretch.max(1.0)) as u64
 }
 
-/// Place of an occurrence's tasks in the order.
+/// Rank of an occurrence's tasks.
 pub fn rank(
     job: &JobRun,
     queue: &QueueSpec,
--- a/src/scheduler/runtime.rs
+++ b/src/scheduler/runtime.rs
@@ -1,18 +1,18 @@
-//! How long tasks take, learned from those that are done.
+//! Run times of tasks, learned from steps that are done.
 //!
-//! The load that this answers: a pool holds less than its queue asks for, and what can still meet its
-//! objective goes first. Which jobs can is told by their run times, and declared ones may be off by
-//! nearly all of their length. The error differs from queue to queue: declared times are trusted as
-//! far as they have told the times that were seen.
+//! Serves the ranking of jobs: where a pool holds less than its queue asks for, jobs that can still
+//! meet their objective go first. Which ones can depends on their run times, and declared run times
+//! may be off by nearly all of their length. The error differs from queue to queue, so declared
+//! times are trusted as far as they have predicted observed times.
 
-/// Part of the earlier observations that each new one leaves: some fifty steps count.
+/// Factor by which earlier observations fade with each new one: some fifty steps count.
 const DECAY_FACTOR: f64 = 0.98;
-/// Observations that the assumption counts for at the start that declared times are right.
+/// Number of observations that the initial assumption, that declared times are right, counts for.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Spread of declared times that the assumption comes with, in parts of their length.
+/// Spread of declared times in that assumption, as a part of their length.
 const PRIOR_SPREAD: f64 = 0.5;
 
-/// Least squares of the times that steps took over those declared, for one queue.
+/// Least-squares fit of observed over declared run times, for one queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuntimeModel {
     weight: f64,
@@ -23,7 +23,8 @@
 }
 
 impl RuntimeModel {
-    /// A step of tasks declared to take `declared_ms` took `observed_ms` on average.
+    /// Records a step whose tasks were declared to take `declared_ms` and took `observed_ms` on
+    /// average.
     pub fn record(&mut self, declared_ms: u64, observed_ms: u64) {
         let (declared, observed) = (to_float(declared_ms), to_float(observed_ms));
         if self.weight == 0.0 {
@@ -36,7 +37,7 @@
         self.products = self.products * DECAY_FACTOR + declared * observed;
     }
 
-    /// Declared times around the first one, and the same times taken.
+    /// Starts with declared times around the first one, and equal observed times.
     fn seed_prior(&mut self, declared: f64) {
         let spread = 1.0 + PRIOR_SPREAD * PRIOR_SPREAD;
         self.weight = PRIOR_WEIGHT;
@@ -46,7 +47,8 @@
         self.products = self.declared_squares;
     }
 
-    /// Time that tasks declared to take `declared_ms` are expected to take, in milliseconds.
+    /// Expected run time of tasks declared to take `declared_ms`, in milliseconds; at least 1 once
+    /// a step was observed.
     pub fn expected_ms(&self, declared_ms: u64) -> u64 {
         if self.weight == 0.0 {
             return declared_ms;
@@ -55,19 +57,19 @@
         let mean_observed = self.observed / self.weight;
         let variance = self.declared_squares / self.weight - mean_declared * mean_declared;
         let covariance = self.products / self.weight - mean_declared * mean_observed;
-        // Equal declared times tell nothing of each other.
+        // Equal declared times allow no slope.
         let slope = if variance > 1.0 { (covariance / variance).clamp(0.0, 1.0) } else { 0.0 };
         to_whole(mean_observed + slope * (to_float(declared_ms) - mean_declared))
     }
 }
 
-/// Run times stay far below the 2^53 up to which a float is exact.
+/// Run times stay far below 2^53, up to which a float is exact.
 #[allow(clippy::cast_precision_loss)]
 fn to_float(time_ms: u64) -> f64 {
     time_ms as f64
 }
 
-/// The cast saturates; an expectation of nothing would take a task for over.
+/// The cast saturates; with an expected run time of zero, a task would count as done.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn to_whole(time_ms: f64) -> u64 {
     time_ms.max(1.0) as u64
--- a/src/scheduler/throttle.rs
+++ b/src/scheduler/throttle.rs
@@ -1,8 +1,8 @@
 //! Keeps best-effort tasks from harming the service tasks beside them.
 //!
-//! By how much one disturbs another differs by image and changes within seconds, so it is not
-//! predicted but regulated: halved at once when a tail nears its target, raised in small steps while
-//! there is room.
+//! How much one disturbs another differs by image and changes within seconds, so it is regulated
+//! rather than predicted: the share is halved at once when a tail latency nears its target, and
+//! raised in small steps while there is headroom.
 
 use std::sync::Arc;
 
@@ -10,23 +10,25 @@
 use crate::jobs::ports::{RunCall, RunningTask};
 use crate::scheduler::{Scheduler, SchedulerAction};
 
-/// Share of a target, in percent, from which the tasks beside are slowed down. The gauge is rough
-/// and half a second old; the rest of the way is the reserve.
+/// Share of a target, in percent, from which best-effort tasks are slowed down. The gauge is rough
+/// and half a second old; the rest up to the target is the reserve.
 const SLOW_DOWN_PERCENT: u64 = 88;
-/// Time after which an unchanged share is sent again to a run that may yet get an older one, in milliseconds.
+/// Time after which an unchanged share is sent again to a run that may still get an older one, in
+/// milliseconds.
 const REPEAT_INTERVAL_MS: u64 = 3_000;
-/// Share of a target, in percent, under which they may go faster.
+/// Share of a target, in percent, below which they may go faster.
 const SPEED_UP_PERCENT: u64 = 65;
 /// Step by which they go faster, in percent.
 const SPEED_UP_STEP: u32 = 15;
-/// Time between two changes for one worker, in milliseconds: the gauge's window, and the time for a
-/// change to show in it.
+/// Least time between two changes for a run, in milliseconds: the gauge's window, and the time
+/// until a change shows in it.
 const CHANGE_INTERVAL_MS: u64 = 600;
-/// A share below this is no use and becomes zero, in percent.
+/// A share below this, in percent, is of no use and becomes zero.
 const SHARE_MIN: u32 = 10;
 
 impl Scheduler {
-    /// Reads the tails of service tasks on a worker and changes the speed of best-effort tasks.
+    /// Reads the tail latencies of service tasks on a worker and adjusts the speed of best-effort
+    /// tasks there.
     pub(crate) fn adjust_throttles(&mut self, id: &Arc<str>, running: &[RunningTask], now: u64) {
         let Some(worker) = self.workers.get(id) else { return };
         let mut best_effort = Vec::new();
@@ -79,7 +81,8 @@
         self.actions.push(SchedulerAction::Throttle(target.clone(), call, percent));
     }
 
-    /// A throttle was answered, or not; the next report corrects one that was lost.
+    /// Takes in the outcome of a throttle call. After one without an answer, the next report leads
+    /// to a new call.
     pub fn handle_throttle_outcome(&mut self, call: &RunCall, is_done: bool) {
         if is_done {
             return;
@@ -87,8 +90,8 @@
         let Some(job) = self.jobs.get_mut(&call.task.job) else { return };
         let Some(task) = job.task_mut(&call.task) else { return };
         if let Some(live) = task.live.iter_mut().find(|live| live.run == call.run) {
-            // Not known whether it was applied: neither the old nor the new share can be assumed,
-            // and the next adjustment must differ from both to be sent.
+            // It is not known whether the throttle was applied: neither the old nor the new share
+            // can be assumed, and the next adjustment must differ from both to be sent.
             live.is_throttle_in_doubt = true;
             live.throttle = live.throttle.saturating_add(1).min(99);
             live.throttled_ms = 0;
@@ -96,8 +99,8 @@
     }
 }
 
-/// The next share for best-effort tasks beside a service whose tail is at `worst_percent` percent of its
-/// target.
+/// The next share of best-effort tasks, in percent, beside a service whose tail latency is at
+/// `worst_percent` of its target.
 pub fn next_share(share: u32, worst_percent: u64) -> u32 {
     if worst_percent >= SLOW_DOWN_PERCENT {
         let halved = share / 2;
--- a/src/scheduler/waits.rs
+++ b/src/scheduler/waits.rs
@@ -1,7 +1,7 @@
-//! Tells of tasks of services that ought to be at work and are not, and what each of them waits for.
+//! Logs service tasks that should be serving and are not, each with the reason for its wait.
 //!
-//! A task that finds no place leaves no other trace, and one that is placed waits in silence for the log, for its worker
-//! or for the end of an earlier run. Nothing is decided here.
+//! A task that finds no worker leaves no other trace, and a placed task waits silently for the log,
+//! for its worker or for the end of an earlier run. Nothing is decided here.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 use crate::scheduler::worker::IsolationRule;
 use crate::scheduler::{Scheduler, SchedulerEvent};
 
-/// Time for which a task is away before it is told of, in milliseconds.
+/// Downtime after which a task is logged, in milliseconds.
 const DOWN_MIN_MS: u64 = 3_000;
-/// Time between two lines about one task, in milliseconds.
+/// Time between two log lines about one task, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 2_000;
-/// Time between two looks, in milliseconds.
+/// Time between two checks, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 500;
-/// Lines written after one look; the count of all tasks that are away stands in each.
+/// Most lines logged after one check; each line has the count of all tasks that are down.
 const LINES_MAX: usize = 16;
 
-/// Which tasks have been away for long, and when each was last told of.
+/// Tasks that have been down for long, and when each was last logged.
 #[derive(Debug, Default)]
 pub(crate) struct WaitLog {
     opened_ms: u64,
@@ -31,14 +31,14 @@
 }
 
 impl WaitLog {
-    /// One that begins now: for how long tasks were away before is not known.
+    /// Starts an empty log now: earlier downtime is not known.
     pub fn open(now: u64) -> WaitLog {
         WaitLog { opened_ms: now, checked_ms: now, logged: BTreeMap::new() }
     }
 }
 
 impl Scheduler {
-    /// Writes down which tasks of services are away for long, and why.
+    /// Logs which service tasks have been down for long, and why.
     pub(crate) fn log_waits(&mut self, now: u64) {
         if now < self.waits.checked_ms + CHECK_INTERVAL_MS {
             return;
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Tasks of services that are wanted and have not been at work for long, and for how long, in milliseconds.
+    /// Service tasks that should be serving and have been down for long, with their downtime in
+    /// milliseconds.
     fn down_tasks(&self, now: u64) -> Vec<(TaskKey, u64)> {
         let mut down = Vec::new();
         for job in self.jobs.values().filter(|job| !job.state.is_final()) {
@@ -117,7 +118,7 @@
         })
     }
 
-    /// What a run that is placed waits for.
+    /// What a placed run waits for.
     fn run_wait_reason(&self, key: &TaskKey, live: &LiveRun, now: u64) -> &'static str {
         let Some(worker) = self.workers.get(&live.worker) else { return "its worker is not known" };
         if worker.silent_since_ms.is_some() && live.phase != RunPhase::Planned {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Why a task has no place.
+    /// Why a task is not placed.
     fn placement_wait_reason(
         &self,
         key: &TaskKey,
@@ -240,7 +241,7 @@
     }
 }
 
-/// Whether tasks of a step are told of: they are to be at work until they are cancelled.
+/// Whether downtime of a step's tasks is logged: they should be serving until they are cancelled.
 fn is_logged(spec: &StepSpec) -> bool {
     spec.is_service && !spec.is_best_effort
 }
