--- a/src/scheduler/commit.rs
+++ b/src/scheduler/commit.rs
@@ -16,15 +16,15 @@
 /// Bytes that dropping a job takes, about.
 const DROP_BYTES: usize = 128;
 /// Jobs whose specs are taken off the log in one commit.
-const OVER_MAX: usize = 500;
+const SPEC_REMOVALS_MAX: usize = 500;
 /// Part of a commit's room for the progress of jobs whose tasks are to start: it goes before all else.
-const STARTS_PART: usize = 3;
+const STARTS_DIVISOR: usize = 3;
 /// Part of it for records of other entries, whose callers wait; progress takes the rest.
-const RELAYED_PART: usize = 2;
+const RELAYED_DIVISOR: usize = 2;
 /// Part of it that progress has at least, however large the records before it: exits wait for it.
-const CHANGED_PART: usize = 6;
+const PROGRESS_DIVISOR: usize = 6;
 /// Part of a commit's room that what nobody waits for may take: all else would stand behind it.
-const IDLE_PART: usize = 8;
+const BACKGROUND_DIVISOR: usize = 8;
 
 /// Records for one append, and what it releases.
 #[derive(Clone, Debug, Default)]
@@ -49,32 +49,32 @@
 /// Jobs whose record has changed, in the order in which they did so.
 #[derive(Debug, Default)]
 struct ChangedJobs {
-    places: BTreeMap<JobId, u64>,
+    positions: BTreeMap<JobId, u64>,
     order: BTreeMap<u64, JobId>,
     next: u64,
 }
 
 impl ChangedJobs {
     fn insert(&mut self, job: JobId) {
-        if let Entry::Vacant(place) = self.places.entry(job) {
-            place.insert(self.next);
+        if let Entry::Vacant(position) = self.positions.entry(job) {
+            position.insert(self.next);
             self.order.insert(self.next, job);
             self.next += 1;
         }
     }
 
     fn take(&mut self, job: JobId) -> bool {
-        let place = self.places.remove(&job);
-        place.is_some_and(|place| self.order.remove(&place).is_some())
+        let position = self.positions.remove(&job);
+        position.is_some_and(|position| self.order.remove(&position).is_some())
     }
 
     /// The oldest change from a place on.
-    fn next_from(&self, place: u64) -> Option<(u64, JobId)> {
-        self.order.range(place..).next().map(|(at, job)| (*at, *job))
+    fn next_from(&self, position: u64) -> Option<(u64, JobId)> {
+        self.order.range(position..).next().map(|(at, job)| (*at, *job))
     }
 
     fn contains(&self, job: JobId) -> bool {
-        self.places.contains_key(&job)
+        self.positions.contains_key(&job)
     }
 
     fn is_empty(&self) -> bool {
@@ -83,7 +83,7 @@
 
     /// Place of the oldest change.
     fn oldest(&self) -> u64 {
-        self.order.first_key_value().map_or(self.next, |(place, _)| *place)
+        self.order.first_key_value().map_or(self.next, |(position, _)| *position)
     }
 }
 
@@ -98,7 +98,7 @@
     drops: Vec<JobId>,
     tombstone_drops: Vec<(JobId, OrganisationDigest)>,
     /// Jobs that are over and quiet, without their specs.
-    over: VecDeque<(JobId, Arc<JobSubmission>)>,
+    spec_removals: VecDeque<(JobId, Arc<JobSubmission>)>,
     waves: BTreeMap<u64, BTreeSet<Arc<str>>>,
     losses: BTreeMap<Arc<str>, Vec<LostVm>>,
     relayed: VecDeque<(u64, VecDeque<JobRecord>)>,
@@ -168,7 +168,7 @@
             && self.held_exits.is_empty()
             && self.drops.is_empty()
             && self.tombstone_drops.is_empty()
-            && self.over.is_empty()
+            && self.spec_removals.is_empty()
             && self.waves.is_empty()
             && self.losses.is_empty()
             && self.relayed.is_empty()
@@ -191,30 +191,30 @@
         self.take_commit_within(APPEND_BYTES_MAX)
     }
 
-    /// The next append, of `room` bytes and a record; nothing if the log has everything. The caller appends
+    /// The next append, of `bytes_max` bytes and a record; nothing if the log has everything. The caller appends
     /// it until it is done, in order, and then calls [`Scheduler::committed`].
-    pub fn take_commit_within(&mut self, room: usize) -> Option<CommitBatch> {
+    pub fn take_commit_within(&mut self, bytes_max: usize) -> Option<CommitBatch> {
         if self.is_deposed || self.commits.is_empty() {
             return None;
         }
         let mut batch = CommitBatch::default();
-        let mut bytes = self.take_starts(&mut batch, room / STARTS_PART);
-        bytes += self.take_relayed(&mut batch, room / RELAYED_PART);
+        let mut bytes = self.take_starts(&mut batch, bytes_max / STARTS_DIVISOR);
+        bytes += self.take_relayed(&mut batch, bytes_max / RELAYED_DIVISOR);
         // A submission stands before the progress of its job, and no task may start before the log has the job.
         let relayed = self.commits.relayed_jobs();
-        let (mut place, mut changed) = (0, 0);
-        while (bytes < room || changed < room / CHANGED_PART)
-            && let Some((at, id)) = self.commits.jobs.next_from(place)
+        let (mut position, mut changed) = (0, 0);
+        while (bytes < bytes_max || changed < bytes_max / PROGRESS_DIVISOR)
+            && let Some((at, id)) = self.commits.jobs.next_from(position)
         {
-            place = at + 1;
+            position = at + 1;
             if !relayed.contains(&id) {
                 self.commits.jobs.take(id);
                 let pushed = self.push_progress(&mut batch, id);
                 (bytes, changed) = (bytes + pushed, changed + pushed);
             }
         }
-        let idle_room = room / IDLE_PART;
-        let drops_max = DROPS_MAX.min(idle_room / DROP_BYTES).max(1);
+        let background_max = bytes_max / BACKGROUND_DIVISOR;
+        let drops_max = DROPS_MAX.min(background_max / DROP_BYTES).max(1);
         let dropped = self.commits.drops.len().min(drops_max);
         for job in self.commits.drops.drain(..dropped) {
             batch.records.extend(JobRecord::drop_records(job));
@@ -228,19 +228,19 @@
             batch.records.push(JobRecord::drop_tombstone(job, mark));
             batch.decoded.push(JobRecord::TombstoneDropped(job, mark));
         }
-        let (mut over, mut over_bytes) = (0, 0);
-        while over < OVER_MAX
-            && over_bytes < idle_room
-            && let Some((job, submission)) = self.commits.over.pop_front()
+        let (mut spec_removals, mut spec_bytes) = (0, 0);
+        while spec_removals < SPEC_REMOVALS_MAX
+            && spec_bytes < background_max
+            && let Some((job, submission)) = self.commits.spec_removals.pop_front()
         {
-            over_bytes += push(&mut batch, JobRecord::Submitted(job, submission));
-            over += 1;
+            spec_bytes += push_record(&mut batch, JobRecord::Submitted(job, submission));
+            spec_removals += 1;
         }
         while let Some((number, done)) = self.commits.waves.pop_first() {
-            push(&mut batch, JobRecord::Wave(number, Arc::new(done)));
+            push_record(&mut batch, JobRecord::Wave(number, Arc::new(done)));
         }
         while let Some((service, lost)) = self.commits.losses.pop_first() {
-            push(&mut batch, JobRecord::Losses(service, Arc::new(lost)));
+            push_record(&mut batch, JobRecord::Losses(service, Arc::new(lost)));
         }
         // Jobs that did not fit keep their starts back for the next append, and the exits that were taken in with them.
         let left = &self.commits.jobs;
@@ -254,7 +254,7 @@
         }
         let oldest = self.commits.jobs.oldest();
         while let Some((_, exits)) =
-            self.commits.held_exits.pop_front_if(|(place, _)| *place <= oldest)
+            self.commits.held_exits.pop_front_if(|(position, _)| *position <= oldest)
         {
             batch.exits.extend(exits);
         }
@@ -262,12 +262,12 @@
     }
 
     /// Progress of jobs whose starts wait for it, unless something that callers said of them is not on the log yet.
-    fn take_starts(&mut self, batch: &mut CommitBatch, room: usize) -> usize {
+    fn take_starts(&mut self, batch: &mut CommitBatch, bytes_max: usize) -> usize {
         let relayed = self.commits.relayed_jobs();
         let waiting: Vec<JobId> = self.commits.starts.iter().map(|(task, _)| task.job).collect();
         let mut bytes = 0;
         for id in waiting {
-            if bytes >= room {
+            if bytes >= bytes_max {
                 break;
             }
             if !relayed.contains(&id) && self.commits.jobs.take(id) {
@@ -278,13 +278,13 @@
     }
 
     /// Records of other entries; a batch that does not fit is told of with its last part.
-    fn take_relayed(&mut self, batch: &mut CommitBatch, room: usize) -> usize {
+    fn take_relayed(&mut self, batch: &mut CommitBatch, bytes_max: usize) -> usize {
         let mut bytes = 0;
         while let Some((token, records)) = self.commits.relayed.front_mut() {
-            while bytes < room
+            while bytes < bytes_max
                 && let Some(record) = records.pop_front()
             {
-                bytes += push(batch, record);
+                bytes += push_record(batch, record);
             }
             if !records.is_empty() {
                 break;
@@ -297,7 +297,7 @@
 
     fn push_progress(&self, batch: &mut CommitBatch, id: JobId) -> usize {
         let Some(job) = self.jobs.get(&id) else { return 0 };
-        push(batch, JobRecord::Progress(id, Arc::new(job.progress(self.term))))
+        push_record(batch, JobRecord::Progress(id, Arc::new(job.progress(self.term))))
     }
 
     /// An append is on the log.
@@ -311,7 +311,7 @@
                 self.actions.push(crate::scheduler::SchedulerAction::RenewNow(id.clone()));
             }
         }
-        self.forget_finished();
+        self.drop_finished();
     }
 
     fn release_start(&mut self, task: &TaskKey, run: u32, now: u64) {
@@ -334,21 +334,21 @@
     ///
     /// Their specs are taken off the log as well. They are nine tenths of what it keeps of a job: an entry
     /// that restarts on a link of 2 Mbit/s would read for ten seconds and more what nobody needs.
-    fn forget_finished(&mut self) {
-        let dirty = &self.commits.jobs;
-        let over = &mut self.commits.over;
+    fn drop_finished(&mut self) {
+        let changed = &self.commits.jobs;
+        let spec_removals = &mut self.commits.spec_removals;
         self.jobs.retain(|id, job| {
             let is_kept =
-                !job.state.is_final() || dirty.contains(*id) || !job.live_tasks().is_empty();
+                !job.state.is_final() || changed.contains(*id) || !job.live_tasks().is_empty();
             if !is_kept && !job.submission.has_no_spec() {
-                over.push_back((*id, Arc::new(job.submission.without_spec())));
+                spec_removals.push_back((*id, Arc::new(job.submission.without_spec())));
             }
             is_kept
         });
     }
 }
 
-fn push(batch: &mut CommitBatch, record: JobRecord) -> usize {
+fn push_record(batch: &mut CommitBatch, record: JobRecord) -> usize {
     let Some(keyed) = record.encode() else { return 0 };
     let bytes = keyed.key.len() + keyed.value.len();
     batch.records.push(keyed);
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -18,34 +18,34 @@
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
 /// Time between two looks at the VM list while something is under way, in milliseconds.
-const LIST_BUSY_MS: u64 = 250;
+const LIST_INTERVAL_BUSY_MS: u64 = 250;
 /// Time between two looks while nothing is, in milliseconds.
-const LIST_QUIET_MS: u64 = 2_000;
+const LIST_INTERVAL_IDLE_MS: u64 = 2_000;
 /// Part of a link that the list may take: one in so many. At 2 Mbit/s a list of 130 VMs, asked for as often as on
 /// a wide link, takes 0.4 of it.
-const LIST_LINK_PART: u64 = 8;
+const LIST_LINK_DIVISOR: u64 = 8;
 /// Size of a VM in the list, in bytes.
-const LIST_ROW_BYTES: u64 = 185;
+const LIST_ENTRY_BYTES: u64 = 185;
 /// Bytes of lists that are read in a millisecond at most: what a leader receives of them must not grow with the VMs.
 const LIST_BYTES_PER_MS: u64 = 500;
 /// Longest rest between two lists, in milliseconds: VMs that were maintained are told by nothing else.
-const LIST_REST_MAX_MS: u64 = 4_000;
+const LIST_PAUSE_MAX_MS: u64 = 4_000;
 /// Age from which a VM list is not acted on, beyond the time for which lists rest, in milliseconds.
 const LIST_AGE_MAX_MS: u64 = 3_000;
 /// Time between two plans of the pools, in milliseconds.
-const PLAN_GAP_MS: u64 = 100;
+const PLAN_INTERVAL_MS: u64 = 100;
 /// Time between two log lines about a pool, in milliseconds.
-const NOTE_GAP_MS: u64 = 1_000;
+const POOL_EVENT_INTERVAL_MS: u64 = 1_000;
 /// Time after which a command that was refused or not answered is sent again, in milliseconds.
 const COMMAND_RETRY_MS: u64 = 300;
 /// Time after which a command that was accepted and never showed is forgotten, in milliseconds.
-const COMMAND_FORGET_MS: u64 = 10_000;
+const COMMAND_TIMEOUT_MS: u64 = 10_000;
 /// Time that a VM idles before it is given away, in milliseconds. A move there and back costs about
 /// as much as two seconds of a VM in a pool.
-const IDLE_MS: u64 = 1_500;
+const IDLE_MIN_MS: u64 = 1_500;
 /// Part of the VMs that could be called for that may be on their way to the standby pool: one in so
 /// many.
-const LEAVING_PART: usize = 2;
+const LEAVING_DIVISOR: usize = 2;
 /// VMs beyond its need from which a pool's services are moved together: one VM more than is needed
 /// keeps room for the next jobs.
 const CONSOLIDATE_SURPLUS: usize = 2;
@@ -62,9 +62,9 @@
 
 /// Time that lists of so many VMs rest on a link of so many Mbit/s, in milliseconds.
 pub fn vm_list_pause_ms(vms: usize, link: u64) -> u64 {
-    let bytes = u64::try_from(vms).unwrap_or(u64::MAX).saturating_mul(LIST_ROW_BYTES);
-    let by_link = bytes.saturating_mul(8 * LIST_LINK_PART) / (link.max(1) * 1_000);
-    by_link.max(bytes / LIST_BYTES_PER_MS).min(LIST_REST_MAX_MS)
+    let bytes = u64::try_from(vms).unwrap_or(u64::MAX).saturating_mul(LIST_ENTRY_BYTES);
+    let by_link = bytes.saturating_mul(8 * LIST_LINK_DIVISOR) / (link.max(1) * 1_000);
+    by_link.max(bytes / LIST_BYTES_PER_MS).min(LIST_PAUSE_MAX_MS)
 }
 
 /// What is to become of a VM.
@@ -114,14 +114,14 @@
     pub waves: BTreeMap<u64, WaveState>,
     /// Pools whose services must leave VMs faster than one by one for a wave to be in time.
     pub urgent_pools: BTreeSet<Arc<str>>,
-    by_worker: HashMap<Arc<str>, Arc<str>>,
-    asked_ms: Option<u64>,
+    vm_by_worker: HashMap<Arc<str>, Arc<str>>,
+    list_requested_ms: Option<u64>,
     /// Earliest time at which the list is asked for again, in milliseconds.
-    rested_ms: u64,
+    list_pause_end_ms: u64,
     /// Time for which lists rest, in milliseconds.
-    rest_ms: u64,
-    planned_ms: u64,
-    noted_ms: u64,
+    list_pause_ms: u64,
+    pools_planned_ms: u64,
+    pools_reported_ms: u64,
 }
 
 impl FleetState {
@@ -132,12 +132,12 @@
         lives: &IncarnationTable,
         asked_ms: u64,
     ) {
-        self.by_worker.clear();
+        self.vm_by_worker.clear();
         self.vms.clear();
         for mut vm in vms {
             vm.worker = lives.newest(&vm.worker).clone();
             if !vm.worker.is_empty() {
-                self.by_worker.insert(vm.worker.clone(), vm.vm.clone());
+                self.vm_by_worker.insert(vm.worker.clone(), vm.vm.clone());
             }
             self.vms.insert(vm.vm.clone(), vm);
         }
@@ -146,16 +146,16 @@
 
     /// A worker has begun anew under its name: the list names it as before.
     pub(crate) fn rename_worker(&mut self, before: &str, id: &Arc<str>) {
-        let Some(name) = self.by_worker.remove(before) else { return };
+        let Some(name) = self.vm_by_worker.remove(before) else { return };
         if let Some(vm) = self.vms.get_mut(&name) {
             vm.worker = id.clone();
         }
-        if let Some(intent) = self.operations.get_mut(&name)
-            && intent.phase == OperationPhase::Draining
+        if let Some(operation) = self.operations.get_mut(&name)
+            && operation.phase == OperationPhase::Draining
         {
-            intent.worker = id.clone();
+            operation.worker = id.clone();
         }
-        self.by_worker.insert(id.clone(), name);
+        self.vm_by_worker.insert(id.clone(), name);
     }
 
     /// Takes a wave; one that is known keeps its progress.
@@ -173,41 +173,41 @@
 
     /// The VM that a worker runs on.
     pub fn vm_of(&self, worker: &str) -> Option<&VmEntry> {
-        self.vms.get(self.by_worker.get(worker)?)
+        self.vms.get(self.vm_by_worker.get(worker)?)
     }
 
     /// Whether the VM of a worker is still to be maintained.
     pub fn is_due(&self, worker: &str) -> bool {
-        let Some(vm) = self.by_worker.get(worker) else { return false };
+        let Some(vm) = self.vm_by_worker.get(worker) else { return false };
         self.waves.values().any(|wave| wave.is_due(vm))
     }
 
     /// VMs with a command to move them into a pool that the list does not show there yet.
     pub(crate) fn arriving(&self, pool: &str) -> usize {
-        self.operations.values().filter(|intent| intent.is_for_pool(pool)).count()
+        self.operations.values().filter(|operation| operation.is_for_pool(pool)).count()
     }
 }
 
 impl Scheduler {
     /// The list that was just taken rests for this time, in milliseconds.
-    pub fn pause_vm_list(&mut self, rest_ms: u64, now: u64) {
-        self.fleet.rest_ms = rest_ms;
-        self.fleet.rested_ms = now + rest_ms;
+    pub fn pause_vm_list(&mut self, list_pause_ms: u64, now: u64) {
+        self.fleet.list_pause_ms = list_pause_ms;
+        self.fleet.list_pause_end_ms = now + list_pause_ms;
     }
 
     /// Looks after the VM list, the commands under way, the waves and the pools.
     pub(crate) fn plan_fleet(&mut self, now: u64) {
-        self.ask_list(now);
-        self.advance_intents(now);
-        if now < self.fleet.planned_ms + PLAN_GAP_MS || !self.is_confirmed(now) {
+        self.request_list(now);
+        self.advance_operations(now);
+        if now < self.fleet.pools_planned_ms + PLAN_INTERVAL_MS || !self.is_confirmed(now) {
             return;
         }
-        self.fleet.planned_ms = now;
-        let age_max_ms = LIST_AGE_MAX_MS + self.fleet.rest_ms;
+        self.fleet.pools_planned_ms = now;
+        let age_max_ms = LIST_AGE_MAX_MS + self.fleet.list_pause_ms;
         let is_fresh = self.fleet.list_as_of_ms.is_some_and(|listed| now < listed + age_max_ms);
         if is_fresh {
             let needs = self.pool_needs(now);
-            self.note_pools(&needs, now);
+            self.emit_pools(&needs, now);
             self.plan_waves(has_shortage(&needs), now);
             self.reassign_withheld_vms(now);
             self.plan_pools(needs, now);
@@ -216,14 +216,14 @@
         self.reserve_workers();
     }
 
-    fn ask_list(&mut self, now: u64) {
+    fn request_list(&mut self, now: u64) {
         let is_busy = self.fleet.is_list_wanted
             || !self.fleet.operations.is_empty()
             || self.fleet.waves.values().any(|wave| !wave.is_completed);
-        let gap = if is_busy { LIST_BUSY_MS } else { LIST_QUIET_MS };
-        let is_due = self.fleet.asked_ms.is_none_or(|asked| now >= asked + gap);
-        if is_due && now >= self.fleet.rested_ms {
-            self.fleet.asked_ms = Some(now);
+        let gap = if is_busy { LIST_INTERVAL_BUSY_MS } else { LIST_INTERVAL_IDLE_MS };
+        let is_due = self.fleet.list_requested_ms.is_none_or(|asked| now >= asked + gap);
+        if is_due && now >= self.fleet.list_pause_end_ms {
+            self.fleet.list_requested_ms = Some(now);
             self.fleet.is_list_wanted = false;
             self.actions.push(SchedulerAction::ListVms);
         }
@@ -245,11 +245,11 @@
         }
     }
 
-    fn advance_intents(&mut self, now: u64) {
+    fn advance_operations(&mut self, now: u64) {
         let names: Vec<Arc<str>> = self.fleet.operations.keys().cloned().collect();
         for name in names {
-            self.settle_by_list(&name, now);
-            self.advance_intent(&name, now);
+            self.reconcile_with_list(&name, now);
+            self.advance_operation(&name, now);
         }
     }
 
@@ -258,26 +258,26 @@
     /// Where the VM service takes seconds to answer, the VM is at work in its new pool before any answer
     /// has come. And a VM that crashed meanwhile may have work again: the command is held back until it
     /// is empty, as for the first time.
-    fn settle_by_list(&mut self, name: &Arc<str>, now: u64) {
+    fn reconcile_with_list(&mut self, name: &Arc<str>, now: u64) {
         let list_as_of_ms = self.fleet.list_as_of_ms.unwrap_or(0);
         let Some(vm) = self.fleet.vms.get(name) else { return };
-        let Some(intent) = self.fleet.operations.get_mut(name) else { return };
-        if intent.phase != OperationPhase::Sent || list_as_of_ms <= intent.since_ms {
+        let Some(operation) = self.fleet.operations.get_mut(name) else { return };
+        if operation.phase != OperationPhase::Sent || list_as_of_ms <= operation.since_ms {
             return;
         }
-        if intent.is_for_pool(&vm.pool) {
-            intent.phase = OperationPhase::Accepted;
-            let worker = intent.worker.clone();
+        if operation.is_for_pool(&vm.pool) {
+            operation.phase = OperationPhase::Accepted;
+            let worker = operation.worker.clone();
             self.end_incarnation(&worker, IncarnationEnd::Moved, now);
             return;
         }
-        let is_other_life = !vm.worker.is_empty() && vm.worker != intent.worker;
-        if is_other_life && matches!(intent.command, VmCommand::Assign { .. }) {
-            intent.phase = OperationPhase::Draining;
+        let is_other_life = !vm.worker.is_empty() && vm.worker != operation.worker;
+        if is_other_life && matches!(operation.command, VmCommand::Assign { .. }) {
+            operation.phase = OperationPhase::Draining;
         }
     }
 
-    fn advance_intent(&mut self, name: &Arc<str>, now: u64) {
+    fn advance_operation(&mut self, name: &Arc<str>, now: u64) {
         let fence = self.fence();
         let may_command = self.may_command_vms(now);
         let list_as_of_ms = self.fleet.list_as_of_ms.unwrap_or(0);
@@ -286,39 +286,39 @@
             return;
         };
         let is_empty = vm.worker.is_empty() || self.is_drained(&vm.worker);
-        let Some(intent) = self.fleet.operations.get_mut(name) else { return };
-        match intent.phase {
+        let Some(operation) = self.fleet.operations.get_mut(name) else { return };
+        match operation.phase {
             OperationPhase::Accepted => {
                 // A VM that is off has no worker by which it could be told that it was down; the list was
                 // asked for after the command had begun, and would show it so.
                 let is_back = vm.state == VmState::Up
-                    && list_as_of_ms > intent.since_ms
-                    && (vm.worker != intent.worker || vm.worker.is_empty());
-                if is_back || now > intent.since_ms + COMMAND_FORGET_MS {
+                    && list_as_of_ms > operation.since_ms
+                    && (vm.worker != operation.worker || vm.worker.is_empty());
+                if is_back || now > operation.since_ms + COMMAND_TIMEOUT_MS {
                     self.fleet.operations.remove(name);
                 }
             }
             OperationPhase::Draining if !is_empty => {}
             OperationPhase::Draining | OperationPhase::Sent => {
-                if now < intent.retry_ms || !may_command {
+                if now < operation.retry_ms || !may_command {
                     return;
                 }
-                let is_first = intent.phase == OperationPhase::Draining;
-                if let (VmCommand::Maintain { wave, .. }, true) = (&intent.command, is_first) {
+                let is_first = operation.phase == OperationPhase::Draining;
+                if let (VmCommand::Maintain { wave, .. }, true) = (&operation.command, is_first) {
                     let wave = *wave;
                     if !self.may_go_down(wave) {
                         return;
                     }
                 }
-                let Some(intent) = self.fleet.operations.get_mut(name) else { return };
+                let Some(operation) = self.fleet.operations.get_mut(name) else { return };
                 if is_first {
-                    intent.phase = OperationPhase::Sent;
-                    intent.since_ms = now;
-                    intent.worker = vm.worker.clone();
+                    operation.phase = OperationPhase::Sent;
+                    operation.since_ms = now;
+                    operation.worker = vm.worker.clone();
                 }
                 // No answer by then counts as one that is lost.
-                intent.retry_ms = now + COMMAND_FORGET_MS;
-                let command = intent.command.clone();
+                operation.retry_ms = now + COMMAND_TIMEOUT_MS;
+                let command = operation.command.clone();
                 self.actions.push(SchedulerAction::CommandVm(command, fence));
             }
         }
@@ -341,35 +341,35 @@
             self.is_deposed = true;
             return;
         }
-        let Some(intent) = self.fleet.operations.get_mut(&name) else { return };
-        if intent.command != *command {
+        let Some(operation) = self.fleet.operations.get_mut(&name) else { return };
+        if operation.command != *command {
             return;
         }
         match outcome {
             VmOutcome::Done => {
-                intent.phase = OperationPhase::Accepted;
-                intent.since_ms = now;
-                let worker = intent.worker.clone();
+                operation.phase = OperationPhase::Accepted;
+                operation.since_ms = now;
+                let worker = operation.worker.clone();
                 if let VmCommand::Maintain { wave, .. } = command {
-                    self.maintained(*wave, &name);
+                    self.mark_maintained(*wave, &name);
                 }
                 self.end_incarnation(&worker, IncarnationEnd::Commanded, now);
             }
             VmOutcome::Unknown => {
                 // It may be carried out any time and end what runs there by then; the VM stays
                 // reserved until the same command, which is idempotent, was accepted.
-                intent.is_in_doubt = true;
-                intent.retry_ms = now + COMMAND_RETRY_MS;
+                operation.is_in_doubt = true;
+                operation.retry_ms = now + COMMAND_RETRY_MS;
             }
-            VmOutcome::Refused => intent.retry_ms = now + COMMAND_RETRY_MS,
-            VmOutcome::Busy if intent.is_in_doubt => intent.retry_ms = now + COMMAND_RETRY_MS,
+            VmOutcome::Refused => operation.retry_ms = now + COMMAND_RETRY_MS,
+            VmOutcome::Busy if operation.is_in_doubt => operation.retry_ms = now + COMMAND_RETRY_MS,
             VmOutcome::Busy => {
                 self.fleet.operations.remove(&name);
             }
             VmOutcome::Malformed => {
                 self.fleet.operations.remove(&name);
                 if let VmCommand::Maintain { wave, .. } = command {
-                    self.not_of_wave(*wave, &name);
+                    self.remove_from_wave(*wave, &name);
                 }
             }
             VmOutcome::Fenced => {}
@@ -382,7 +382,7 @@
         let change = format!("{command:?}: planned");
         self.emit(SchedulerEvent::Vm { vm: vm.clone(), change });
         let worker = self.fleet.vms.get(&vm).map(|vm| vm.worker.clone()).unwrap_or_default();
-        let intent = VmOperation {
+        let operation = VmOperation {
             command,
             phase: OperationPhase::Draining,
             since_ms: now,
@@ -390,7 +390,7 @@
             worker: worker.clone(),
             is_in_doubt: false,
         };
-        self.fleet.operations.insert(vm, intent);
+        self.fleet.operations.insert(vm, operation);
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.is_reserved = true;
         }
@@ -416,17 +416,17 @@
             }
         }
         let Some(standby) = standby else { return };
-        self.keep_wanted(&needs, &standby);
-        self.consolidate(&needs, &standby, now);
+        self.cancel_unneeded_moves(&needs, &standby);
+        self.consolidate_services(&needs, &standby, now);
         let surplus = |need: &PoolNeed| need.surplus(NeedKind::Soon).min(need.idle.len());
         let idle: usize = needs.values().map(surplus).sum();
         // A VM on its way to the standby pool can't be called for, and the next queue's turn may
         // begin any moment: only a part of what could be called for is under way at a time.
-        let liquid = idle + spare.len();
+        let available = idle + spare.len();
         let leaving = self.fleet.arriving(&standby);
-        let mut allowed = (liquid / LEAVING_PART).max(1).saturating_sub(leaving);
+        let mut allowed = (available / LEAVING_DIVISOR).max(1).saturating_sub(leaving);
         for need in needs.values() {
-            let idle = need.idle.iter().filter(|(_, idle_ms)| *idle_ms >= IDLE_MS);
+            let idle = need.idle.iter().filter(|(_, idle_ms)| *idle_ms >= IDLE_MIN_MS);
             for (vm, _) in idle.take(surplus(need)) {
                 if allowed == 0 {
                     return;
@@ -440,11 +440,11 @@
         }
     }
 
-    fn note_pools(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, now: u64) {
-        if now < self.fleet.noted_ms + NOTE_GAP_MS {
+    fn emit_pools(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, now: u64) {
+        if now < self.fleet.pools_reported_ms + POOL_EVENT_INTERVAL_MS {
             return;
         }
-        self.fleet.noted_ms = now;
+        self.fleet.pools_reported_ms = now;
         for (pool, need) in needs {
             self.emit(SchedulerEvent::Pool {
                 pool: pool.clone(),
@@ -457,7 +457,7 @@
     }
 
     /// Gives up emptying VMs of pools that want them again.
-    fn keep_wanted(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, standby: &str) {
+    fn cancel_unneeded_moves(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, standby: &str) {
         let is_wanted = |vm: &Arc<str>| {
             let pool = self.fleet.vms.get(vm).map(|vm| &vm.pool);
             pool.and_then(|pool| needs.get(pool))
@@ -467,8 +467,8 @@
             .fleet
             .operations
             .iter()
-            .filter(|(_, intent)| intent.phase == OperationPhase::Draining)
-            .filter(|(_, intent)| intent.is_for_pool(standby))
+            .filter(|(_, operation)| operation.phase == OperationPhase::Draining)
+            .filter(|(_, operation)| operation.is_for_pool(standby))
             .filter(|(vm, _)| is_wanted(vm))
             .map(|(vm, _)| vm.clone())
             .collect();
@@ -479,14 +479,19 @@
 
     /// After a burst services are left on more VMs than they need. One VM a pool at a time is emptied,
     /// that with the fewest of them, where nothing else runs.
-    fn consolidate(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, standby: &Arc<str>, now: u64) {
+    fn consolidate_services(
+        &mut self,
+        needs: &BTreeMap<Arc<str>, PoolNeed>,
+        standby: &Arc<str>,
+        now: u64,
+    ) {
         let mut chosen = Vec::new();
         for (pool, need) in needs {
             if need.surplus(NeedKind::Soon) < CONSOLIDATE_SURPLUS || !need.idle.is_empty() {
                 continue;
             }
-            let is_busy = self.fleet.operations.iter().any(|(vm, intent)| {
-                intent.phase == OperationPhase::Draining
+            let is_busy = self.fleet.operations.iter().any(|(vm, operation)| {
+                operation.phase == OperationPhase::Draining
                     && self.fleet.vms.get(vm).is_some_and(|vm| vm.pool == *pool)
             });
             if is_busy {
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -18,14 +18,14 @@
 /// its worker reports itself.
 const OVERHEAD_MS: u64 = 1_200;
 /// Share of the time left, in percent, in which a wave plans to be done; the rest is for failures.
-const PLANNED_PERCENT: u64 = 70;
+const PLANNED_TIME_PERCENT: u64 = 70;
 
 /// Time after the stop of a service task until it is at work elsewhere and that is known, in
 /// milliseconds: a start, its startup of about a second, and a report.
-const RESTART_MS: u64 = 1_300;
+const SERVICE_RESTART_MS: u64 = 1_300;
 /// Part of a pool's VMs that may be emptied of services at a time: one in so many, as they take no
 /// other work meanwhile.
-const EMPTIED_PART: usize = 4;
+const DRAINING_DIVISOR: usize = 4;
 
 /// A wave under way.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     pub since_ms: u64,
     /// Whether operators were told that it is complete.
     pub is_completed: bool,
-    is_told: bool,
+    is_announced: bool,
 }
 
 impl WaveState {
@@ -49,7 +49,7 @@
             done: BTreeSet::new(),
             since_ms: now,
             is_completed: false,
-            is_told: false,
+            is_announced: false,
         }
     }
 
@@ -61,7 +61,7 @@
 
 /// How much it takes to get a VM ready for maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum EmptyingCost {
+enum DrainCost {
     /// Off, or nothing runs on it.
     Nothing,
     /// What runs on it ends by itself soon.
@@ -91,7 +91,7 @@
 
     fn plan_wave(&mut self, number: u64, is_scarce: bool, now: u64) {
         let Some(run) = self.fleet.waves.get_mut(&number) else { return };
-        let is_told = std::mem::replace(&mut run.is_told, true);
+        let is_announced = std::mem::replace(&mut run.is_announced, true);
         let left: Vec<Arc<str>> = run
             .wave
             .vms
@@ -104,29 +104,29 @@
             self.actions.push(SchedulerAction::PublishWaveStatus(number, true));
             return;
         }
-        if !is_told {
+        if !is_announced {
             self.actions.push(SchedulerAction::PublishWaveStatus(number, false));
         }
         let deadline = run.since_ms + run.wave.within_ms;
         let parallel_max = run.wave.parallel_max.max(1);
-        self.find_hurried(deadline, now);
-        let planned = self.planned(number);
+        self.find_urgent_pools(deadline, now);
+        let planned_vms = self.planned_vms(number);
         let wanted = self.wanted_parallel(left.len(), deadline, now).min(parallel_max);
-        let mut slots = parallel_max.saturating_sub(planned);
-        let mut candidates: Vec<(EmptyingCost, u64, Arc<str>)> = left
+        let mut slots = parallel_max.saturating_sub(planned_vms);
+        let mut candidates: Vec<(DrainCost, u64, Arc<str>)> = left
             .into_iter()
             .filter(|vm| !self.fleet.operations.contains_key(vm))
-            .filter_map(|vm| self.emptying_cost(&vm, now).map(|(cost, load)| (cost, load, vm)))
+            .filter_map(|vm| self.drain_cost(&vm, now).map(|(cost, load)| (cost, load, vm)))
             .collect();
         candidates.sort();
-        self.empty_services(number, &candidates, now);
+        self.drain_service_vms(number, &candidates, now);
         for (cost, _, vm) in candidates {
             if slots == 0 {
                 break;
             }
             let running = parallel_max - slots;
-            let is_free = cost == EmptyingCost::Nothing && !is_scarce;
-            if cost == EmptyingCost::Evict || (!is_free && running >= wanted) {
+            let is_free = cost == DrainCost::Nothing && !is_scarce;
+            if cost == DrainCost::Evict || (!is_free && running >= wanted) {
                 break;
             }
             self.plan_operation(VmCommand::Maintain { vm, wave: number }, now);
@@ -138,22 +138,22 @@
     /// step go a few at a time, which takes longest of all. As many VMs a pool are emptied at a time as
     /// budgets let their tasks be away together; one by one, each would wait for the slowest task of the
     /// one before.
-    fn empty_services(
+    fn drain_service_vms(
         &mut self,
         number: u64,
-        candidates: &[(EmptyingCost, u64, Arc<str>)],
+        candidates: &[(DrainCost, u64, Arc<str>)],
         now: u64,
     ) {
-        let mut emptied = self.emptied_by_pool(number);
-        for (_, _, vm) in candidates.iter().filter(|(cost, ..)| *cost == EmptyingCost::Evict) {
+        let mut draining = self.draining_by_pool(number);
+        for (_, _, vm) in candidates.iter().filter(|(cost, ..)| *cost == DrainCost::Evict) {
             let Some(pool) = self.fleet.vms.get(vm).map(|vm| vm.pool.clone()) else { continue };
             let most = match self.fleet.urgent_pools.contains(&pool) {
-                true => (self.pool_size(&pool) / EMPTIED_PART).max(1),
+                true => (self.pool_size(&pool) / DRAINING_DIVISOR).max(1),
                 false => 1,
             };
-            let count = emptied.entry(pool).or_insert(0);
+            let count = draining.entry(pool).or_insert(0);
             // One VM waits for its budgets where it is: a task that stays away must not hold the wave up.
-            if *count < most && (*count == 0 || self.budgets_allow(vm)) {
+            if *count < most && (*count == 0 || self.are_budgets_kept(vm)) {
                 *count += 1;
                 self.plan_operation(VmCommand::Maintain { vm: vm.clone(), wave: number }, now);
             }
@@ -163,12 +163,12 @@
     /// Finds the pools in which a wave would be late if their VMs were emptied of services one by one.
     /// Only there is it worth VMs beyond the need, and work that is displaced: on sites of 50 VMs both
     /// cost more than the wave's delay, up to 0.8% of what callers are owed.
-    fn find_hurried(&mut self, deadline: u64, now: u64) {
-        let left_ms = deadline.saturating_sub(now) * PLANNED_PERCENT / 100;
-        let each_ms = self.bounds.stop_ms + RESTART_MS;
+    fn find_urgent_pools(&mut self, deadline: u64, now: u64) {
+        let left_ms = deadline.saturating_sub(now) * PLANNED_TIME_PERCENT / 100;
+        let each_ms = self.bounds.stop_ms + SERVICE_RESTART_MS;
         let is_late = |pool: &Arc<str>| {
-            let hosts = u64::try_from(self.due_hosts(pool)).unwrap_or(u64::MAX);
-            hosts.saturating_mul(each_ms) > left_ms
+            let due_vms = u64::try_from(self.due_service_vms(pool)).unwrap_or(u64::MAX);
+            due_vms.saturating_mul(each_ms) > left_ms
         };
         let pools = self.config.pools.iter().filter(|pool| !pool.is_standby);
         let late: Vec<Arc<str>> = pools.map(|pool| pool.name.clone()).filter(is_late).collect();
@@ -176,7 +176,7 @@
     }
 
     /// VMs of a pool that have services and are still to be maintained.
-    fn due_hosts(&self, pool: &str) -> usize {
+    fn due_service_vms(&self, pool: &str) -> usize {
         self.workers
             .iter()
             .filter(|(_, worker)| &*worker.entry.service == pool)
@@ -186,17 +186,17 @@
     }
 
     /// VMs of each pool that are being emptied for a wave.
-    fn emptied_by_pool(&self, number: u64) -> BTreeMap<Arc<str>, usize> {
-        let mut emptied = BTreeMap::new();
-        for (vm, intent) in &self.fleet.operations {
-            if intent.phase != OperationPhase::Draining || !intent.is_for_wave(number) {
+    fn draining_by_pool(&self, number: u64) -> BTreeMap<Arc<str>, usize> {
+        let mut draining = BTreeMap::new();
+        for (vm, operation) in &self.fleet.operations {
+            if operation.phase != OperationPhase::Draining || !operation.is_for_wave(number) {
                 continue;
             }
             if let Some(vm) = self.fleet.vms.get(vm) {
-                *emptied.entry(vm.pool.clone()).or_insert(0) += 1;
+                *draining.entry(vm.pool.clone()).or_insert(0) += 1;
             }
         }
-        emptied
+        draining
     }
 
     fn pool_size(&self, pool: &Arc<str>) -> usize {
@@ -205,7 +205,7 @@
 
     /// Whether budgets let the services of a VM be away together with those that are away already or
     /// stand on VMs that are being emptied.
-    fn budgets_allow(&self, vm: &Arc<str>) -> bool {
+    fn are_budgets_kept(&self, vm: &Arc<str>) -> bool {
         let worker = self.fleet.vms.get(vm).and_then(|vm| self.workers.get(&vm.worker));
         let Some(worker) = worker else { return false };
         let services = worker.runs.iter().filter(|(_, run)| run.is_service);
@@ -239,11 +239,11 @@
     /// Whether one more VM of a wave may go down now.
     pub(crate) fn may_go_down(&self, number: u64) -> bool {
         let limit = self.fleet.waves.get(&number).map_or(1, |run| run.wave.parallel_max.max(1));
-        self.under_way(number) < limit
+        self.vms_down(number) < limit
     }
 
     /// VMs of a wave that are down for it, or will be any moment.
-    fn under_way(&self, number: u64) -> usize {
+    fn vms_down(&self, number: u64) -> usize {
         let Some(run) = self.fleet.waves.get(&number) else { return 0 };
         run.wave
             .vms
@@ -251,8 +251,8 @@
             .filter(|name| {
                 let is_down =
                     self.fleet.vms.get(*name).is_some_and(|vm| vm.state == VmState::InMaintenance);
-                let is_sent = self.fleet.operations.get(*name).is_some_and(|intent| {
-                    intent.is_for_wave(number) && intent.phase != OperationPhase::Draining
+                let is_sent = self.fleet.operations.get(*name).is_some_and(|operation| {
+                    operation.is_for_wave(number) && operation.phase != OperationPhase::Draining
                 });
                 is_down || is_sent
             })
@@ -260,25 +260,27 @@
     }
 
     /// VMs of a wave that are down or kept for it, without those whose services are being moved.
-    fn planned(&self, number: u64) -> usize {
-        let has_service = |intent: &VmOperation| {
-            let worker = self.workers.get(&intent.worker);
+    fn planned_vms(&self, number: u64) -> usize {
+        let has_service = |operation: &VmOperation| {
+            let worker = self.workers.get(&operation.worker);
             worker.is_some_and(|worker| worker.runs.values().any(|run| run.is_service))
         };
         let kept = self
             .fleet
             .operations
             .values()
-            .filter(|intent| intent.is_for_wave(number) && intent.phase == OperationPhase::Draining)
-            .filter(|intent| !has_service(intent))
+            .filter(|operation| {
+                operation.is_for_wave(number) && operation.phase == OperationPhase::Draining
+            })
+            .filter(|operation| !has_service(operation))
             .count();
-        self.under_way(number) + kept
+        self.vms_down(number) + kept
     }
 
     /// VMs that must be maintained at a time for the wave to be in time.
     fn wanted_parallel(&self, left: usize, deadline: u64, now: u64) -> usize {
         let each_ms = self.bounds.maintenance_ms + OVERHEAD_MS;
-        let left_ms = deadline.saturating_sub(now) * PLANNED_PERCENT / 100;
+        let left_ms = deadline.saturating_sub(now) * PLANNED_TIME_PERCENT / 100;
         let work_ms = u64::try_from(left).unwrap_or(0) * each_ms;
         match left_ms {
             0 => usize::MAX,
@@ -287,13 +289,13 @@
     }
 
     /// What it takes to empty a VM, and how loaded it is; nothing if it can't be commanded now.
-    fn emptying_cost(&self, name: &Arc<str>, now: u64) -> Option<(EmptyingCost, u64)> {
+    fn drain_cost(&self, name: &Arc<str>, now: u64) -> Option<(DrainCost, u64)> {
         let vm = self.fleet.vms.get(name)?;
         if vm.state != VmState::Up {
             return None;
         }
         let Some(worker) = self.workers.get(&vm.worker) else {
-            return Some((EmptyingCost::Nothing, 0));
+            return Some((DrainCost::Nothing, 0));
         };
         if worker.silent_since_ms.is_some() || worker.entry.is_draining {
             return None;
@@ -302,10 +304,10 @@
         if worker.runs.is_empty() {
             // One that has just been given to a pool is about to be used.
             let is_wanted = now < worker.idle_since_ms + 300;
-            return Some((EmptyingCost::Nothing, u64::from(is_wanted)));
+            return Some((DrainCost::Nothing, u64::from(is_wanted)));
         }
         let has_service = worker.runs.values().any(|run| run.is_service);
-        let cost = if has_service { EmptyingCost::Evict } else { EmptyingCost::Wait };
+        let cost = if has_service { DrainCost::Evict } else { DrainCost::Wait };
         Some((cost, load))
     }
 
@@ -314,14 +316,14 @@
         if self.is_lagging(now) {
             return;
         }
-        let emptied: Vec<Arc<str>> = self
+        let draining: Vec<Arc<str>> = self
             .fleet
             .operations
             .values()
-            .filter(|intent| intent.phase == OperationPhase::Draining)
-            .map(|intent| intent.worker.clone())
+            .filter(|operation| operation.phase == OperationPhase::Draining)
+            .map(|operation| operation.worker.clone())
             .collect();
-        for id in emptied {
+        for id in draining {
             let Some(worker) = self.workers.get(&id) else { continue };
             let services: Vec<(TaskKey, u32)> =
                 worker.runs.iter().filter(|(_, run)| run.is_service).map(|(key, _)| *key).collect();
@@ -349,14 +351,14 @@
     }
 
     /// A VM's maintenance has begun or is over.
-    pub(crate) fn maintained(&mut self, number: u64, vm: &Arc<str>) {
+    pub(crate) fn mark_maintained(&mut self, number: u64, vm: &Arc<str>) {
         let Some(run) = self.fleet.waves.get_mut(&number) else { return };
         run.done.insert(vm.clone());
         self.commits.queue_wave(number, run.done.clone());
     }
 
     /// The platform says that a VM does not belong to the wave.
-    pub(crate) fn not_of_wave(&mut self, number: u64, vm: &Arc<str>) {
+    pub(crate) fn remove_from_wave(&mut self, number: u64, vm: &Arc<str>) {
         if let Some(run) = self.fleet.waves.get_mut(&number) {
             run.wave.vms.retain(|other| other != vm);
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -85,7 +85,7 @@
 const LATE_AGE_MS: u64 = 2_000;
 /// Workers with late answers that show it: so many, and one in so many; a few can be slow themselves.
 const LATE_WORKERS_MIN: usize = 3;
-const LATE_WORKERS_PART: usize = 16;
+const LATE_WORKERS_DIVISOR: usize = 16;
 /// What is left of the time until nothing of a cancelled job may start, in milliseconds: a worker takes a while from
 /// its look at the clock to the start.
 const START_MARGIN_MS: u64 = 100;
@@ -144,7 +144,7 @@
     confirmed_ms: u64,
     is_deposed: bool,
     jobs: HashMap<JobId, JobRun>,
-    scheduled: BTreeSet<JobId>,
+    awaiting_occurrences: BTreeSet<JobId>,
     /// Run times by queue.
     runtimes: HashMap<Arc<str>, RuntimeModel>,
     /// Jobs that are over, and since when this process knows that, in milliseconds: a wall clock may be set forward.
@@ -204,7 +204,7 @@
             confirmed_ms: start.confirmed_ms,
             is_deposed: false,
             jobs: HashMap::new(),
-            scheduled: BTreeSet::new(),
+            awaiting_occurrences: BTreeSet::new(),
             runtimes: HashMap::new(),
             finished: BTreeMap::new(),
             tombstones: TombstoneTable::default(),
@@ -233,7 +233,7 @@
             wall_ms,
         };
         scheduler.organisations.configure(&scheduler.config);
-        scheduler.learn_queues();
+        scheduler.register_queues();
         for (service, lost) in book.losses() {
             scheduler.losses.restore(service, lost, now, wall_ms);
         }
@@ -254,7 +254,7 @@
             return;
         };
         let age_ms = wall_ms.saturating_sub(submission.accepted_ms);
-        self.learn_queue_of(submission);
+        self.register_queue_of(submission);
         let Some(mut run) = JobRun::restore(id, job, now.saturating_sub(age_ms)) else { return };
         let live = run.live_tasks();
         if run.state.is_final() {
@@ -279,7 +279,7 @@
         if let Some(task) = exhausted {
             self.give_up(&task, "it has lost too many workers", now);
         }
-        self.scheduled.insert(id);
+        self.awaiting_occurrences.insert(id);
     }
 
     /// Data centre of a worker.
@@ -324,7 +324,7 @@
             worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS)
         };
         let late = self.workers.values().filter(is_late).count();
-        late >= LATE_WORKERS_MIN.max(self.workers.len() / LATE_WORKERS_PART)
+        late >= LATE_WORKERS_MIN.max(self.workers.len() / LATE_WORKERS_DIVISOR)
     }
 
     /// We have been told of all that the job log held at `shown_ms`.
@@ -379,21 +379,21 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn emit(&mut self, emit: SchedulerEvent) {
-        self.actions.push(SchedulerAction::Event(emit));
+    fn emit(&mut self, event: SchedulerEvent) {
+        self.actions.push(SchedulerAction::Event(event));
     }
 
     /// A new configuration is in force.
     pub fn set_config(&mut self, config: Arc<SiteConfig>) {
         self.organisations.configure(&config);
         self.config = config;
-        self.learn_queues();
+        self.register_queues();
         self.needs_dispatch = true;
     }
 
     /// Takes the queue of a job that no configuration we have read names: another entry has accepted the job by one that
     /// came and went meanwhile. Of the queue only its pool is known; one attempt is what any queue allows.
-    fn learn_queue_of(&mut self, submission: &JobSubmission) {
+    fn register_queue_of(&mut self, submission: &JobSubmission) {
         if self.queues.contains_key(&submission.queue) {
             return;
         }
@@ -414,7 +414,7 @@
     }
 
     /// Takes the queues of the configuration in force.
-    fn learn_queues(&mut self) {
+    fn register_queues(&mut self) {
         let named = self.config.queues.iter().map(|queue| (queue.name.clone(), queue.clone()));
         self.queues.extend(named);
     }
@@ -452,7 +452,7 @@
                     self.finished.insert(*job, now);
                     return;
                 }
-                self.learn_queue_of(submission);
+                self.register_queue_of(submission);
                 let booked = LoggedJob::submitted(submission.clone());
                 let Some(mut run) = JobRun::restore(*job, &booked, now) else { return };
                 run.is_beyond_share = !self.is_within_share(submission, now);
@@ -463,7 +463,7 @@
                     arrivals.record_arrival(&submission.spec, &model.unwrap_or_default(), now);
                 }
                 self.jobs.insert(*job, run);
-                self.scheduled.insert(*job);
+                self.awaiting_occurrences.insert(*job);
                 self.needs_dispatch = true;
             }
             JobRecord::Cancelled(job) => self.cancel(*job, source, now),
@@ -608,7 +608,7 @@
             return;
         }
         self.wall_ms = wall_ms;
-        self.begin_due(wall_ms);
+        self.begin_due_occurrences(wall_ms);
         self.expire_silent_workers(now);
         self.give_up_due_jobs(now);
         if now >= self.next_sweep_ms {
@@ -630,9 +630,9 @@
         self.send_due(now);
     }
 
-    fn begin_due(&mut self, wall_ms: u64) {
+    fn begin_due_occurrences(&mut self, wall_ms: u64) {
         let mut over = Vec::new();
-        for id in &self.scheduled {
+        for id in &self.awaiting_occurrences {
             let Some(job) = self.jobs.get_mut(id) else {
                 over.push(*id);
                 continue;
@@ -643,7 +643,7 @@
             }
         }
         for id in over {
-            self.scheduled.remove(&id);
+            self.awaiting_occurrences.remove(&id);
         }
     }
 
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -100,7 +100,7 @@
             pools: self.pool_overviews(now),
             organisations: self.organisation_overviews(),
             waves: waves.collect(),
-            doubted: self.doubted_workers(now),
+            doubted: self.unavailable_workers(now),
             vm_commands: self.fleet.operations.len(),
         }
     }
@@ -157,7 +157,7 @@
         organisations
     }
 
-    fn doubted_workers(&self, now: u64) -> Vec<UnavailableWorker> {
+    fn unavailable_workers(&self, now: u64) -> Vec<UnavailableWorker> {
         let mut doubted = Vec::new();
         for (id, worker) in &self.workers {
             let reason = if worker.silent_since_ms.is_some() {
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -17,7 +17,7 @@
 /// Added to every bound on a lease, in milliseconds: a worker's own timers and its kill take a while.
 const LEASE_MARGIN_MS: u64 = 100;
 /// Exits by which a worker is judged.
-const VERDICTS_KEPT: usize = 8;
+const OUTCOMES_KEPT: usize = 8;
 /// Failures among these from which a worker is left out: one task that always fails must not do it.
 const FAILURES_MIN: usize = 3;
 /// First time that a failing worker is left out, in milliseconds: about one task's run time.
@@ -39,13 +39,13 @@
 impl ClockSample {
     /// What the clock shows at least at a time of ours that is later: it was read before `received_ms`, and may
     /// be slow.
-    fn least_at(self, ms: u64) -> u64 {
+    fn min_reading_at(self, ms: u64) -> u64 {
         let since = ms.saturating_sub(self.received_ms);
         self.worker_ms + since * (100 - CLOCK_DRIFT_PERCENT) / 100
     }
 
     /// Latest time of ours at which it comes to show `worker_ms`.
-    fn latest_ms(self, worker_ms: u64) -> u64 {
+    fn latest_local_ms(self, worker_ms: u64) -> u64 {
         let length = worker_ms.saturating_sub(self.worker_ms) * 100 / (100 - CLOCK_DRIFT_PERCENT);
         self.received_ms + length + LEASE_MARGIN_MS
     }
@@ -54,7 +54,7 @@
     /// would shorten it only as it arrives.
     fn lease_end(self, lease_ms: u64, now: u64) -> u64 {
         let end = self.worker_ms + now.saturating_sub(self.received_ms) + lease_ms;
-        end.min(self.least_at(now) + lease_ms + LEASE_SLACK_MS)
+        end.min(self.min_reading_at(now) + lease_ms + LEASE_SLACK_MS)
     }
 }
 
@@ -67,7 +67,7 @@
 
 impl WorkSpan {
     /// The worker has told at this time of its clock that the run is there.
-    pub fn see(&mut self, clock_ms: u64) {
+    pub fn observe(&mut self, clock_ms: u64) {
         let begun = *self.begun_ms.get_or_insert(clock_ms);
         self.seen_ms = self.seen_ms.max(clock_ms).max(begun);
     }
@@ -197,10 +197,10 @@
     clock: Option<ClockSample>,
     lease_bound_ms: u64,
     /// End of the longest lease that was asked for, on its clock.
-    given_until_ms: u64,
+    requested_lease_end_ms: u64,
     /// End of the longest lease that a renewal is known to have given, on its clock.
-    held_until_ms: u64,
-    verdicts: VecDeque<bool>,
+    confirmed_lease_end_ms: u64,
+    outcomes: VecDeque<bool>,
     suspended_until_ms: u64,
     suspension_ms: u64,
     is_on_trial: bool,
@@ -234,9 +234,9 @@
             used: ResourceVector::default(),
             clock: None,
             lease_bound_ms,
-            given_until_ms: 0,
-            held_until_ms: 0,
-            verdicts: VecDeque::new(),
+            requested_lease_end_ms: 0,
+            confirmed_lease_end_ms: 0,
+            outcomes: VecDeque::new(),
             suspended_until_ms: 0,
             suspension_ms: SUSPENSION_MS,
             is_on_trial: false,
@@ -290,7 +290,7 @@
     /// The worker has told at this time of its clock that a run is there.
     pub fn observe_run(&mut self, key: &(TaskKey, u32), clock_ms: u64) {
         if let Some(run) = self.runs.get_mut(key) {
-            run.span.see(clock_ms);
+            run.span.observe(clock_ms);
         }
     }
 
@@ -446,11 +446,12 @@
     pub fn sample_clock_since(&mut self, worker_ms: u64, sent_ms: u64, received_ms: u64) {
         let sample = ClockSample { worker_ms, received_ms };
         if let Some(clock) = self.clock {
-            let stood_still = sent_ms >= clock.received_ms && worker_ms < clock.least_at(sent_ms);
-            if stood_still {
+            let has_stood_still =
+                sent_ms >= clock.received_ms && worker_ms < clock.min_reading_at(sent_ms);
+            if has_stood_still {
                 self.lease_bound_ms =
-                    self.lease_bound_ms.max(sample.latest_ms(self.given_until_ms));
-            } else if worker_ms < clock.least_at(received_ms) {
+                    self.lease_bound_ms.max(sample.latest_local_ms(self.requested_lease_end_ms));
+            } else if worker_ms < clock.min_reading_at(received_ms) {
                 return;
             }
         }
@@ -461,31 +462,31 @@
     /// Counts the lease: from here on its runs may last that long.
     pub fn lease_until(&mut self, lease_ms: u64, now: u64) -> Option<u64> {
         let clock = self.clock?;
-        Some(self.count_lease(clock, clock.lease_end(lease_ms, now)))
+        Some(self.extend_lease_bound(clock, clock.lease_end(lease_ms, now)))
     }
 
     /// The same for the lease of a start that must not begin later than at `deadline_ms` by ours. The worker
     /// refuses it from the end of its lease on, so that end is one that its clock has reached by then.
     pub fn start_until(&mut self, lease_ms: u64, deadline_ms: u64, now: u64) -> Option<u64> {
         let clock = self.clock?;
-        let until = clock.lease_end(lease_ms, now).min(clock.least_at(deadline_ms));
-        Some(self.count_lease(clock, until))
+        let until = clock.lease_end(lease_ms, now).min(clock.min_reading_at(deadline_ms));
+        Some(self.extend_lease_bound(clock, until))
     }
 
-    fn count_lease(&mut self, clock: ClockSample, until: u64) -> u64 {
-        self.given_until_ms = self.given_until_ms.max(until);
-        self.lease_bound_ms = self.lease_bound_ms.max(clock.latest_ms(until));
+    fn extend_lease_bound(&mut self, clock: ClockSample, until: u64) -> u64 {
+        self.requested_lease_end_ms = self.requested_lease_end_ms.max(until);
+        self.lease_bound_ms = self.lease_bound_ms.max(clock.latest_local_ms(until));
         until
     }
 
     /// Takes in that it has answered a renewal that gave this lease.
     pub fn confirm_lease(&mut self, until: u64) {
-        self.held_until_ms = self.held_until_ms.max(until);
+        self.confirmed_lease_end_ms = self.confirmed_lease_end_ms.max(until);
     }
 
     /// Whether a renewal has given it a lease that lasts for about so long.
     pub fn has_lease_for(&self, ms: u64, now: u64) -> bool {
-        self.clock.is_some_and(|clock| clock.lease_end(ms, now) <= self.held_until_ms)
+        self.clock.is_some_and(|clock| clock.lease_end(ms, now) <= self.confirmed_lease_end_ms)
     }
 
     /// Time by ours after which nothing that was started there can be alive without a renewal.
@@ -505,18 +506,18 @@
 
     /// Takes in how a run ended, and leaves the worker out if it fails what others get done.
     pub fn record_outcome(&mut self, is_good: bool, now: u64) {
-        if self.verdicts.len() >= VERDICTS_KEPT {
-            self.verdicts.pop_front();
+        if self.outcomes.len() >= OUTCOMES_KEPT {
+            self.outcomes.pop_front();
         }
-        self.verdicts.push_back(is_good);
+        self.outcomes.push_back(is_good);
         if is_good {
             self.is_on_trial = false;
             self.suspension_ms = SUSPENSION_MS;
             return;
         }
-        let failures = self.verdicts.iter().filter(|verdict| !**verdict).count();
-        let is_bad = failures >= FAILURES_MIN && failures * 2 > self.verdicts.len();
-        if (is_bad || self.is_on_trial) && now >= self.suspended_until_ms {
+        let failures = self.outcomes.iter().filter(|outcome| !**outcome).count();
+        let is_failing = failures >= FAILURES_MIN && failures * 2 > self.outcomes.len();
+        if (is_failing || self.is_on_trial) && now >= self.suspended_until_ms {
             self.suspend(now);
         }
     }
@@ -533,6 +534,6 @@
         self.suspended_until_ms = now + self.suspension_ms;
         self.suspension_ms = (self.suspension_ms * 2).min(SUSPENSION_MAX_MS);
         self.is_on_trial = true;
-        self.verdicts.clear();
+        self.outcomes.clear();
     }
 }
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -25,7 +25,7 @@
 /// Guards against a view of the jobs that counts as new before the leader was told of what it rests on: a reader has
 /// moved the book's end over a cancellation, and waits for the scheduler, when an append of the leader's is folded.
 #[test]
-fn a_view_of_the_jobs_does_not_count_before_the_scheduler_was_told() {
+fn the_job_view_is_not_fresh_before_the_scheduler_has_applied_it() {
     let node = idle_node();
     lead(&node);
     node.fold_own(&[], 0, 0);
@@ -46,7 +46,7 @@
 /// Guards against a start that was sent to one life of a worker, and that the next one, whose clock begins anew, takes
 /// long after its job's cancellation was acknowledged.
 #[test]
-fn a_start_that_comes_late_to_the_next_life_of_its_worker_is_refused() {
+fn a_delayed_start_is_refused_by_the_next_incarnation_of_its_worker() {
     let mut sim = SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")]);
     sim.advance(20_000);
     sim.workers.get_mut("w1@0").expect("known").is_late = true;
@@ -64,7 +64,7 @@
 /// Guards against a start that may begin late on a worker whose clock stood still for a while: what it tells since is
 /// taken for answers that were on their way for long.
 #[test]
-fn a_worker_whose_clock_stood_still_is_believed() {
+fn a_clock_reading_after_a_standstill_is_accepted() {
     let mut stood = WorkerState::new(worker("w0", "r0"), 0, 0);
     stood.sample_clock(50_000, 100_000);
     for seconds in 0..20 {
@@ -90,7 +90,7 @@
 /// Guards against a lease that is longer than any that a successor waits for, as its worker was idle and its clock is slow:
 /// one that arrives late counts from then.
 #[test]
-fn a_lease_after_an_idle_time_is_not_longer_than_any_may_be() {
+fn a_lease_after_an_idle_time_keeps_to_the_maximum() {
     let mut idle = WorkerState::new(worker("w0", "r0"), 0, 0);
     idle.sample_clock_since(50_000, 100_000, 100_000);
     let shown_ms = 50_000 + 60_000 * 98 / 100;
@@ -100,7 +100,7 @@
 
 /// Guards against an answer that was on its way for long and is taken for one of a clock that stood still.
 #[test]
-fn an_answer_that_comes_late_sets_no_clock_back() {
+fn a_late_answer_does_not_set_a_clock_back() {
     let mut late = WorkerState::new(worker("w0", "r0"), 0, 0);
     late.sample_clock_since(50_000, 100_000, 100_000);
     late.sample_clock_since(50_100, 100_050, 103_000);
@@ -111,7 +111,7 @@
 /// Guards against a cancelled job that runs when its submission is repeated: its leader's wall clock is ahead of that of
 /// the leader before, and the job is dropped from the log at once.
 #[test]
-fn a_job_that_was_just_cancelled_outlives_a_leader_whose_wall_clock_is_ahead() {
+fn a_leader_whose_wall_clock_is_ahead_keeps_a_cancelled_job() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(1)]));
     sim.append(&JobRecord::Cancelled(id));
@@ -174,7 +174,7 @@
 /// Guards against jobs that are kept for good as each new leader counts from its beginning: it counts from when its
 /// process learned of the end.
 #[test]
-fn a_successor_drops_what_it_has_known_to_be_over_for_long() {
+fn a_successor_drops_jobs_that_it_has_long_known_to_be_over() {
     let node = idle_node();
     let progress = JobProgress {
         term: 1,
@@ -251,7 +251,7 @@
 /// Guards against work that lapses as its lease was that of its start: all that its worker has is to be stopped and was
 /// not renewed for a while.
 #[test]
-fn a_worker_with_nothing_but_stops_is_given_a_lease_before_its_next_start() {
+fn a_worker_with_only_stopping_runs_gets_a_lease_before_its_next_start() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let first = sim.submit(1, job(vec![step(1)]));
     sim.advance(1_000);
--- a/tests/scheduler_commit.rs
+++ b/tests/scheduler_commit.rs
@@ -28,7 +28,7 @@
 /// The log is away. A job that was placed must not start: a successor would not know of the run, and
 /// start the task a second time. It starts as soon as the log has the placement.
 #[test]
-fn nothing_starts_before_the_log_has_it() {
+fn no_run_starts_before_its_placement_is_on_the_log() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     sim.is_log_up = false;
     let id = sim.submit(1, job(vec![step(1)]));
@@ -62,7 +62,7 @@
 /// The leader dies after a task is done and before the log has it. The successor finds the end on
 /// the worker's list: the task does not run again.
 #[test]
-fn a_successor_finds_an_exit_that_the_log_does_not_have() {
+fn a_successor_processes_an_exit_that_is_not_on_the_log() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = sim.submit(1, job(vec![step(1)]));
     sim.is_log_up = false;
@@ -77,7 +77,7 @@
 /// The leader dies after the log has a placement and before the start was sent. The worker answers
 /// the successor and has no such run: the task starts at once.
 #[test]
-fn a_successor_starts_what_was_placed_and_never_started() {
+fn a_successor_starts_placed_tasks_that_were_never_started() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     sim.is_lane_held = true;
     let id = sim.submit(1, job(vec![step(1)]));
@@ -93,7 +93,7 @@
 /// behind a cut: the task is started elsewhere only when every lease that the old leader can have
 /// given has run out.
 #[test]
-fn a_successor_waits_out_the_leases_of_a_worker_that_it_cannot_reach() {
+fn a_successor_waits_out_the_leases_of_an_unreachable_worker() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
     let mut sim = SchedulerSim::open(config(), pool);
     let id = sim.submit(1, job(vec![step(1)]));
@@ -109,7 +109,7 @@
 /// The same worker, but the VM list shows that its VM runs another life by now: nothing of the old
 /// one is alive, and the task starts elsewhere at once.
 #[test]
-fn a_worker_whose_vm_runs_another_life_is_not_waited_for() {
+fn runs_are_lost_at_once_if_their_vm_has_another_incarnation() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
     let mut sim = SchedulerSim::open(config(), pool.clone());
     let id = sim.submit(1, job(vec![step(1)]));
@@ -135,7 +135,7 @@
 /// The leader loses the log but not its workers. Its successor takes their runs for over a while
 /// after the old leader was last confirmed, so the old one must stop prolonging leases in time.
 #[test]
-fn leases_are_not_prolonged_once_the_leadership_is_unconfirmed() {
+fn leases_are_not_extended_while_the_leadership_is_unconfirmed() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     sim.submit(1, job(vec![step(1)]));
     sim.advance(500);
@@ -166,7 +166,7 @@
 /// and again, and nothing would be committed any more. They go out in parts, and no task starts
 /// before its own job is on the log.
 #[test]
-fn a_flood_of_large_submissions_is_appended_in_parts() {
+fn many_large_submissions_are_appended_in_parts() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let payload = "x".repeat(4_000);
     for token in 0..12 {
@@ -199,7 +199,7 @@
 
 /// Guards against a cancelled job that runs, as its cancellation reached the leader before the job itself.
 #[test]
-fn a_cancellation_that_comes_before_its_job_holds() {
+fn a_cancellation_read_before_its_job_takes_effect() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = job_id(1);
     sim.append(&JobRecord::Cancelled(id));
@@ -211,7 +211,7 @@
 
 /// Guards against the same where the leader changes between the two.
 #[test]
-fn a_cancellation_that_comes_before_its_job_holds_for_the_next_leader() {
+fn a_cancellation_read_before_its_job_takes_effect_under_the_next_leader() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = job_id(1);
     sim.append(&JobRecord::Cancelled(id));
@@ -222,7 +222,7 @@
 }
 
 /// Room of a commit that takes some 20 records.
-const SMALL_ROOM: usize = 1_024;
+const SMALL_COMMIT_BYTES: usize = 1_024;
 /// Jobs of which most wait for room.
 const CHANGED: u64 = 600;
 
@@ -248,25 +248,25 @@
 
 /// Guards against a task that waits to start behind all other changes on a narrow link.
 #[test]
-fn a_start_goes_before_other_changes() {
+fn a_start_is_committed_before_other_changes() {
     let (mut sim, running) = full_pool();
     cancel_waiting(&mut sim, 200..CHANGED);
     let placed = sim.events.len();
     sim.end(running, ExitKind::Done);
     sim.advance(200);
-    let started = sim.events[placed..].iter().find_map(|note| match note {
+    let started = sim.events[placed..].iter().find_map(|event| match event {
         SchedulerEvent::Placed { task, .. } => Some(task.job),
         _ => None,
     });
     assert!(started.is_some(), "nothing was placed");
-    let batch = sim.scheduler.take_commit_within(SMALL_ROOM).expect("an append");
+    let batch = sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES).expect("an append");
     assert!(batch.records.len() < 100, "all fits");
     assert_eq!(batch.decoded.first().and_then(JobRecord::job), started);
 }
 
 /// Guards against ends that workers list again and again, as other changes always wait for the log behind them.
 #[test]
-fn ends_are_acknowledged_though_changes_keep_coming() {
+fn exits_are_acknowledged_while_other_changes_keep_coming() {
     let (mut sim, running) = full_pool();
     cancel_waiting(&mut sim, 200..240);
     sim.end(running, ExitKind::Done);
@@ -275,19 +275,20 @@
         // More than the commits take, each time.
         cancel_waiting(&mut sim, first..first + 40);
         for _ in 0..6 {
-            let batch = sim.scheduler.take_commit_within(SMALL_ROOM / 8).expect("an append");
+            let batch =
+                sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES / 8).expect("an append");
             sim.scheduler.committed(&batch, sim.now);
         }
     }
     sim.advance(200);
-    assert!(sim.scheduler.take_commit_within(SMALL_ROOM / 8).is_some(), "nothing was left");
+    assert!(sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES / 8).is_some(), "nothing was left");
     assert!(sim.workers["w1"].exits.is_empty(), "no end was acknowledged");
 }
 
 /// Guards against a batch of another entry that is told of before all of it is on the log, and against progress of a job
 /// that the log does not have.
 #[test]
-fn a_batch_that_does_not_fit_is_told_of_with_its_last_part() {
+fn a_relayed_batch_is_confirmed_with_its_last_part() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let submitted = Arc::new(submission(job(vec![step(1)])));
     let records = (0..CHANGED).map(|id| JobRecord::Submitted(job_id(id), submitted.clone()));
@@ -295,7 +296,7 @@
     sim.scheduler.tick(sim.now, 0);
     let mut stored = std::collections::BTreeSet::new();
     let mut commits = 0;
-    while let Some(batch) = sim.scheduler.take_commit_within(SMALL_ROOM) {
+    while let Some(batch) = sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES) {
         commits += 1;
         for record in &batch.decoded {
             match record {
@@ -314,16 +315,16 @@
 
 /// Guards against ends that are never acknowledged while large submissions of other entries fill each append.
 #[test]
-fn ends_are_acknowledged_though_large_submissions_keep_coming() {
+fn exits_are_acknowledged_while_large_submissions_keep_coming() {
     let (mut sim, running) = full_pool();
     sim.end(running, ExitKind::Done);
     sim.advance(200);
-    let spec = JobSpec { payload: "x".repeat(SMALL_ROOM + 1_000), ..job(vec![step(1)]) };
+    let spec = JobSpec { payload: "x".repeat(SMALL_COMMIT_BYTES + 1_000), ..job(vec![step(1)]) };
     let submitted = Arc::new(submission(spec));
     for id in 0..20 {
         let record = JobRecord::Submitted(job_id(10_000 + id), submitted.clone());
         sim.scheduler.relay(id, vec![record], sim.now);
-        let batch = sim.scheduler.take_commit_within(SMALL_ROOM).expect("an append");
+        let batch = sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES).expect("an append");
         sim.scheduler.committed(&batch, sim.now);
     }
     sim.advance(200);
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -59,7 +59,7 @@
 /// leave little more time than a VM takes to come: VMs are called for by the rate at which work
 /// arrives, when only the first jobs stand in line.
 #[test]
-fn a_burst_calls_for_vms_by_its_rate_not_by_its_queue() {
+fn a_burst_requests_vms_by_its_arrival_rate() {
     let pool = workers(1);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
@@ -68,15 +68,15 @@
         sim.submit(id, job(vec![step(4)]));
         sim.advance(50);
     }
-    let called = assigned_to(&sim, POOL);
+    let requested = assigned_to(&sim, POOL);
     // The ten jobs that have come take forty cores, four VMs beside the one that is there.
-    assert!((5..=12).contains(&called), "{called} VMs called for after half a second");
+    assert!((5..=12).contains(&requested), "{requested} VMs called for after half a second");
 }
 
 /// A queue that was quiet asks for eighty cores from one moment to the next. Each job that arrives until
 /// that shows waits for a VM's whole move: three quarters of it are seen within 0.3 s.
 #[test]
-fn a_sudden_burst_shows_within_a_few_tenths_of_a_second() {
+fn the_arrival_rate_shows_a_sudden_burst_within_tenths_of_a_second() {
     let mut rate = ArrivalRate::default();
     for n in 0..30 {
         rate.record_arrival(&job(vec![step(1)]), &RuntimeModel::default(), 5_000 + n * 100 / 8);
@@ -94,7 +94,7 @@
 /// The rate falls again within two windows after the last arrival: a burst that is over calls for
 /// nothing.
 #[test]
-fn the_rate_of_arrival_is_forgotten_soon() {
+fn the_arrival_rate_falls_soon_after_a_burst() {
     let mut rate = ArrivalRate::default();
     for n in 0..20 {
         rate.record_arrival(&job(vec![step(4)]), &RuntimeModel::default(), 1_000 + n * 50);
@@ -107,7 +107,7 @@
 /// A queue's turn is over and its VMs idle; the next queue's turn may begin any moment. A VM on its
 /// way to the standby pool could not be called for, so they leave a part at a time.
 #[test]
-fn idle_vms_leave_a_part_at_a_time() {
+fn only_some_of_the_idle_vms_leave_at_a_time() {
     let pool = workers(16);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -120,7 +120,7 @@
 /// Two of the VMs that a wave may take down at once are down. A third may not go, however many are
 /// due.
 #[test]
-fn a_wave_takes_no_more_vms_at_once_than_it_may() {
+fn a_wave_keeps_to_its_limit_of_vms_at_a_time() {
     let pool = workers(6);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -134,7 +134,7 @@
 /// next two follow at once. Waited for as if a worker had to come, they hold the places of the whole wave until their
 /// commands are forgotten, and the last VMs, with what callers have running on them, are late.
 #[test]
-fn vms_without_workers_make_room_in_a_wave_as_soon_as_they_are_back() {
+fn vms_without_workers_free_their_slots_in_a_wave_once_they_are_back() {
     let pool = workers(1);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     let list = vms(&pool, 4);
@@ -160,7 +160,7 @@
 /// One VM of a wave may be down at a time, and one is. Another has just been emptied of its services:
 /// it waits until the first is back.
 #[test]
-fn a_vm_that_was_emptied_waits_for_its_turn() {
+fn a_drained_vm_waits_for_a_slot_in_its_wave() {
     let pool = workers(4);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -200,7 +200,7 @@
 /// The tasks of a service, of which two may be away, stand on VMs that are all due. Moved one after the
 /// other, the wave would be late: two go at a time, and never a third.
 #[test]
-fn as_many_vms_are_emptied_at_a_time_as_budgets_allow() {
+fn as_many_vms_are_drained_at_a_time_as_budgets_allow() {
     let pool = workers(8);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -254,7 +254,7 @@
 /// a VM that is due as well: there it would have to be moved once more, and callers would miss it twice.
 /// Room is made for it where it can stay.
 #[test]
-fn services_are_moved_where_they_can_stay() {
+fn services_are_moved_to_vms_that_are_not_due() {
     let (starts, place, lasting) = moved_in_a_wave(step(8));
     assert_eq!((starts, place), (2, lasting));
 }
@@ -272,7 +272,7 @@
 /// A wave is complete when every VM of it that still exists has begun its maintenance, and operators
 /// are told so once.
 #[test]
-fn a_wave_is_told_complete_when_all_have_begun() {
+fn a_wave_is_published_as_complete_once_all_vms_have_begun() {
     let pool = workers(2);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -284,7 +284,7 @@
 
 /// A new leader takes over in the middle of a wave. What the log says to be done is not done again.
 #[test]
-fn a_successor_goes_on_with_a_wave_where_it_stood() {
+fn a_successor_continues_a_wave_without_repeating_it() {
     let pool = workers(2);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -306,7 +306,7 @@
 /// A new leader finds a wave with nothing left to do. Operators have been told that it is complete, and
 /// are not told once more that it runs.
 #[test]
-fn a_successor_tells_nobody_that_a_complete_wave_runs() {
+fn a_successor_does_not_publish_a_complete_wave_as_running() {
     let pool = workers(2);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -367,7 +367,7 @@
 /// A burst is over, and the tasks of a service stand one each on four VMs where two would hold them.
 /// They are moved together, within their budget, and the VMs that become empty leave the pool.
 #[test]
-fn services_are_moved_together_after_a_burst() {
+fn services_are_consolidated_after_a_burst() {
     let pool = workers(4);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -399,7 +399,7 @@
 /// One queue expects work: its jobs' later steps have not begun, and its VMs idle. Another queue's
 /// callers wait for room now. The idle VMs go to those that wait.
 #[test]
-fn work_that_waits_takes_the_vms_that_idle_for_work_that_is_expected() {
+fn waiting_work_gets_vms_that_idle_for_expected_work() {
     let config = two_pools();
     let mut pool = workers(9);
     pool[8].service = OTHER_POOL.into();
@@ -434,7 +434,7 @@
 
 /// A VM is only taken from a pool when nothing runs on it: a task at work on it ends by itself first.
 #[test]
-fn a_vm_that_is_due_is_not_taken_from_under_a_task() {
+fn a_due_vm_is_not_maintained_while_a_task_runs_on_it() {
     let pool = workers(1);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -469,7 +469,7 @@
 /// checks no tokens, it would carry out both in any order, and the VM would end where nobody has it: the
 /// successor's first command waits until nothing of the old leader's is under way.
 #[test]
-fn a_successor_waits_out_commands_to_vms_that_nobody_fences() {
+fn a_successor_waits_out_unfenced_vm_commands_of_its_predecessor() {
     let is_held = |are_vms_fenced, end| {
         let pool = workers(1);
         let mut sim = SchedulerSim::open(config(), pool.clone());
@@ -493,7 +493,7 @@
 /// A leader that has not been confirmed for a while may have a successor soon: it commands no VM any
 /// more, long before its leases end.
 #[test]
-fn vms_are_commanded_only_while_no_successor_can_have_begun() {
+fn vms_are_commanded_only_while_the_leadership_is_confirmed() {
     let pool = workers(1);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
--- a/tests/scheduler_behind.rs
+++ b/tests/scheduler_lag.rs
@@ -42,7 +42,7 @@
 /// the end is on its way. Callers' tasks must not run a second time: the leader sees by other workers' late
 /// answers that it is behind itself, and starts nothing again until it has read on.
 #[test]
-fn a_leader_that_is_behind_takes_no_run_for_over() {
+fn a_lagging_leader_declares_no_run_over() {
     let mut sim = SchedulerSim::open(config(), workers(5));
     let id = sim.submit(1, job(vec![StepSpec { per_worker_max: 1, ..step(4) }]));
     for worker in sim.workers.values_mut() {
@@ -96,7 +96,7 @@
 /// Two workers of many answer late since they are slow themselves. A third one that is silent is not
 /// excused by them: its tasks start elsewhere once its leases are over.
 #[test]
-fn a_slow_worker_or_two_do_not_hold_others_tasks_up() {
+fn a_few_slow_workers_do_not_delay_the_expiry_of_a_silent_one() {
     let mut sim = SchedulerSim::open(config(), workers(6));
     let id = sim.submit(1, job(vec![step(1)]));
     let first = task(id, 0, 0);
@@ -117,7 +117,7 @@
 /// Starts wait in line before a choked link. Of a burst of a hundred only those are decided that go out
 /// soon: the others keep no room, and the most urgent can still go before them.
 #[test]
-fn no_more_is_placed_than_goes_out_soon() {
+fn no_more_tasks_are_placed_than_can_be_sent_soon() {
     let mut sim = SchedulerSim::open(config(), workers(20));
     sim.is_lane_held = true;
     sim.scheduler.set_pace(FlowPace { starts_max: Some(16), queue_delay_ms: 200 });
@@ -134,24 +134,24 @@
 /// While answers wait in a line, a renewal waits longer at its worker, so that renewals without news leave
 /// the link to starts; and it is waited for longer than the line is.
 #[test]
-fn renewals_are_fewer_and_more_patient_on_a_choked_link() {
+fn renewals_are_fewer_with_longer_timeouts_on_a_saturated_link() {
     let mut sim = SchedulerSim::open(config(), workers(1));
     sim.submit(1, job(vec![step(1)]));
     let mut plan = |queue_delay_ms| {
         sim.scheduler.set_pace(FlowPace { starts_max: None, queue_delay_ms });
         sim.now += 1_000;
         match sim.scheduler.renew_plan(&"w0".into(), sim.now) {
-            RenewPlan::Call(_, call, patience) => (call.wait, patience),
+            RenewPlan::Call(_, call, timeout) => (call.wait, timeout),
             other => panic!("{other:?}"),
         }
     };
-    let (wait, patience) = plan(0);
-    let (choked_wait, choked_patience) = plan(100);
-    assert!(choked_wait >= wait * 2, "{wait:?} {choked_wait:?}");
-    assert!(choked_patience > patience);
-    let (longest, longest_patience) = plan(60_000);
+    let (wait, timeout) = plan(0);
+    let (saturated_wait, saturated_timeout) = plan(100);
+    assert!(saturated_wait >= wait * 2, "{wait:?} {saturated_wait:?}");
+    assert!(saturated_timeout > timeout);
+    let (longest, longest_timeout) = plan(60_000);
     let lease = std::time::Duration::from_millis(support::sim::bounds().lease_max_ms);
-    assert!((longest + longest_patience) * 3 / 2 < lease, "{longest:?} {longest_patience:?}");
+    assert!((longest + longest_timeout) * 3 / 2 < lease, "{longest:?} {longest_timeout:?}");
 }
 
 /// A service may miss one of its tasks. One stands on a worker that doesn't answer: nobody knows whether it
@@ -186,8 +186,8 @@
 /// starts: after each it rests so long that lists take an eighth of the link, and is asked for again before it is
 /// too old to act on.
 #[test]
-fn a_list_is_asked_for_less_often_on_a_narrow_link() {
-    let asked_in_3_s = |link| {
+fn the_vm_list_is_requested_less_often_on_a_narrow_link() {
+    let requested_in_3_s = |link| {
         let pool = workers(130);
         let mut sim = SchedulerSim::open(config(), pool.clone());
         let listed: Vec<_> = pool.iter().map(|worker| vm(worker, POOL)).collect();
@@ -207,14 +207,14 @@
         }
         seen
     };
-    let (wide, narrow) = (asked_in_3_s(200), asked_in_3_s(2));
+    let (wide, narrow) = (requested_in_3_s(200), requested_in_3_s(2));
     assert!(wide >= 10, "{wide}");
     assert!((3..=5).contains(&narrow), "{narrow}");
 }
 
 /// Guards against a leader that plans nothing for part of the time as its list gets too old while it rests.
 #[test]
-fn a_list_is_acted_on_for_as_long_as_it_rests() {
+fn a_vm_list_stays_valid_during_the_pause_between_lists() {
     for (vms, link) in [(130, 2), (10_000, 1), (1_000_000, 1_000)] {
         let rest_ms = vm_list_pause_ms(vms, link);
         let pool = workers(4);
@@ -235,7 +235,7 @@
 
 /// Guards against lists that take more of the leader's time the more VMs there are.
 #[test]
-fn what_lists_take_does_not_grow_with_the_vms() {
+fn the_bandwidth_of_vm_lists_does_not_grow_with_the_vms() {
     let bytes_per_s = |vms: usize| vms as u64 * 185 * 1_000 / vm_list_pause_ms(vms, 1_000);
     for vms in [1_000, 3_000, 6_000, 12_000] {
         assert!(bytes_per_s(vms) <= 600_000, "{vms}: {}", bytes_per_s(vms));
@@ -246,7 +246,7 @@
 /// been at work. Taken for starts that crashed them, three such losses would give up a caller's job that has
 /// nothing to do with it: they count, and only towards the bound that holds for every reason.
 #[test]
-fn a_leader_that_is_behind_blames_no_start() {
+fn a_lagging_leader_attributes_no_loss_to_a_start() {
     let mut sim = SchedulerSim::open(config(), workers(5));
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -270,7 +270,7 @@
 
 /// Guards against starts of a job that another entry has cancelled seconds ago, while reads of the log are late.
 #[test]
-fn a_leader_whose_reads_of_the_log_are_late_starts_nothing() {
+fn a_leader_with_a_stale_view_of_the_jobs_starts_nothing() {
     let mut sim = SchedulerSim::open(config(), workers(4));
     let first = sim.submit(1, job(vec![step(1)]));
     sim.advance(100);
@@ -288,7 +288,7 @@
 
 /// Guards against a start that is sent late, after the cancellation of its job could have been read.
 #[test]
-fn a_start_in_its_lane_waits_while_reads_of_the_log_are_late() {
+fn a_queued_start_waits_while_the_view_of_the_jobs_is_stale() {
     let mut sim = SchedulerSim::open(config(), workers(4));
     sim.is_lane_held = true;
     let id = sim.submit(1, job(vec![step(1)]));
--- a/tests/scheduler_vms.rs
+++ b/tests/scheduler_vms.rs
@@ -10,7 +10,7 @@
 use support::sim::{POOL, STANDBY, SchedulerSim, config, job, job_id, step, task, vm, worker};
 
 /// One worker at work and a VM on standby that the next job calls for.
-fn called(outcome: VmOutcome) -> (SchedulerSim, WorkerEntry) {
+fn request_vm(outcome: VmOutcome) -> (SchedulerSim, WorkerEntry) {
     let pool = worker("w0", "r0");
     let mut sim = SchedulerSim::open(config(), vec![pool.clone()]);
     sim.vm_outcome = outcome;
@@ -31,8 +31,8 @@
 /// the VM's new worker reports itself and runs tasks. Then a repeat is answered. The tasks run on, so
 /// that answer must not take their worker for gone, or each of them would run a second time elsewhere.
 #[test]
-fn a_repeated_command_says_nothing_of_a_worker_that_came_after_its_first_try() {
-    let (mut sim, pool) = called(VmOutcome::Unknown);
+fn a_repeated_command_does_not_end_a_worker_that_came_after_the_first_attempt() {
+    let (mut sim, pool) = request_vm(VmOutcome::Unknown);
     let fresh = worker("w1", "r9");
     sim.workers.insert(fresh.id.clone(), Default::default());
     sim.scheduler.worker_seen(fresh.clone(), sim.now);
@@ -62,8 +62,8 @@
 /// The same, but the list shows the VM in its new pool before any answer has come: the command was
 /// carried out, and needs no repeat.
 #[test]
-fn the_list_tells_that_a_command_without_an_answer_was_carried_out() {
-    let (mut sim, pool) = called(VmOutcome::Unknown);
+fn the_list_shows_that_an_unanswered_command_was_carried_out() {
+    let (mut sim, pool) = request_vm(VmOutcome::Unknown);
     sim.scheduler.update_vms(listed(&pool, POOL, ""), sim.now, sim.now);
     sim.advance(2_000);
     assert_eq!(sim.vm_commands.len(), 1, "{:?}", sim.vm_commands);
@@ -73,7 +73,7 @@
 /// its new worker is given tasks before the list shows it. A repeat now would end them: it waits until
 /// nothing runs there.
 #[test]
-fn a_repeat_waits_until_the_vm_is_empty_again() {
+fn a_repeated_command_waits_until_the_vm_is_empty_again() {
     let entries = vec![worker("w0", "r0"), worker("w1", "r0")];
     let mut sim = SchedulerSim::open(config(), entries.clone());
     let both = |state, incarnation: &str| -> Vec<VmEntry> {
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -42,19 +42,19 @@
 /// Start of the model's time.
 const BEGIN_MS: u64 = 100_000;
 /// Longest time that a call is on its way before it is carried out, in milliseconds.
-const LATE_MS: u64 = 4_000;
+const CALL_DELAY_MAX_MS: u64 = 4_000;
 /// Longest time that a start is on its way where it waits in an executor, in milliseconds.
-const START_LATE_MS: u64 = 2_000;
+const EXECUTOR_DELAY_MAX_MS: u64 = 2_000;
 /// Time for a start to be answered, sent by the leader and through an executor, in milliseconds.
-const PATIENCE_MS: [u64; 3] = [450, 900, 900];
+const START_TIMEOUTS_MS: [u64; 3] = [450, 900, 900];
 /// Time after which a leader gives a stop up, in milliseconds.
-const STOP_PATIENCE_MS: u64 = 1_500;
+const STOP_TIMEOUT_MS: u64 = 1_500;
 /// Time for which an answer to a renewal is read on, in milliseconds.
-const READ_ON_MS: u64 = 4_000;
+const ANSWER_AGE_MAX_MS: u64 = 4_000;
 
 /// How tries of starts fare.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum TryLoad {
+enum StartLoad {
     /// Workers that are unwell refuse every start.
     Usual,
     /// Workers are unwell often and refuse a part of the starts, and half of the tries go through slow executors.
@@ -74,9 +74,9 @@
     exits: Vec<TaskExit>,
     next_exit: u64,
     is_full: bool,
-    is_unwell: bool,
+    is_unhealthy: bool,
     /// Whether it refuses only a part of the starts while it is unwell.
-    sheds: bool,
+    is_shedding: bool,
     is_listed: bool,
 }
 
@@ -93,8 +93,8 @@
             exits: Vec::new(),
             next_exit: 0,
             is_full: false,
-            is_unwell: false,
-            sheds: false,
+            is_unhealthy: false,
+            is_shedding: false,
             is_listed: true,
         }
     }
@@ -137,7 +137,7 @@
         if call.fence < self.fence {
             return refuse(CommandRefusal::Fenced);
         }
-        if self.is_unwell && (!self.sheds || now.is_multiple_of(2)) {
+        if self.is_unhealthy && (!self.is_shedding || now.is_multiple_of(2)) {
             return CommandOutcome::Refused(CommandRefusal::Unhealthy, None);
         }
         self.fence = call.fence;
@@ -202,7 +202,7 @@
     term: u64,
     reaches_log: bool,
     /// Workers that it can't reach, by name.
-    cut: BTreeSet<Arc<str>>,
+    unreachable: BTreeSet<Arc<str>>,
     watched: BTreeSet<Arc<str>>,
     renewing: BTreeSet<Arc<str>>,
     is_committing: bool,
@@ -213,22 +213,22 @@
 /// What comes later.
 enum ModelEvent {
     Turn,
-    Draw,
+    RandomEvent,
     /// The next command of a run is sent.
     Send(u64, Arc<str>, TaskKey, u32),
     StartArrives(u64, Arc<str>, StartCall, Option<u64>),
-    StartTold(u64, Arc<str>, TaskKey, u32, CommandOutcome<u64>),
+    StartAnswered(u64, Arc<str>, TaskKey, u32, CommandOutcome<u64>),
     NotSent(u64, TaskKey, u32),
     StopArrives(u64, Arc<str>, RunCall, Option<u64>),
-    StopTold(u64, Arc<str>, RunCall, CommandOutcome<u64>),
+    StopAnswered(u64, Arc<str>, RunCall, CommandOutcome<u64>),
     RenewArrives(u64, Arc<str>, RenewCall, u64, Option<u64>),
-    RenewTold(u64, Arc<str>, RenewCall, u64, CommandOutcome<WorkerReport>),
-    ToldLate(u64, Arc<str>, RenewCall, u64, WorkerReport),
+    RenewAnswered(u64, Arc<str>, RenewCall, u64, CommandOutcome<WorkerReport>),
+    AnsweredLate(u64, Arc<str>, RenewCall, u64, WorkerReport),
     Commit(u64, CommitBatch),
     Claim(u64),
     TakeOver(u64, u64),
-    Seen(WorkerEntry),
-    Unlisted(Arc<str>),
+    EntryRead(WorkerEntry),
+    EntryGone(Arc<str>),
 }
 
 struct Model {
@@ -245,12 +245,12 @@
     claimed: u64,
     renewed_ms: u64,
     workers: Vec<ModelWorker>,
-    load: TryLoad,
+    load: StartLoad,
     keys: Vec<TaskKey>,
     jobs: u64,
-    births: u64,
+    restarts: u64,
     starts: usize,
-    told: Vec<(u64, String)>,
+    traced: Vec<(u64, String)>,
     fault: Option<String>,
 }
 
@@ -261,14 +261,14 @@
 }
 
 impl Model {
-    fn open(load: TryLoad, seed: u64) -> Model {
+    fn open(load: StartLoad, seed: u64) -> Model {
         let mut random = StdRng::seed_from_u64(seed);
         let workers = (0..WORKERS).map(|number| {
             let started_ms = BEGIN_MS - 1_000 - number as u64;
             let entry = worker(&format!("w{number}"), &format!("r{number}"));
             let entry = WorkerEntry { id: incarnation_id(&entry.id, Some(started_ms)), ..entry };
             let worker = ModelWorker::begin(entry, random.random_range(0..3), started_ms);
-            ModelWorker { sheds: load == TryLoad::Strained, ..worker }
+            ModelWorker { is_shedding: load == StartLoad::Strained, ..worker }
         });
         let workers = workers.collect();
         let mut model = Model {
@@ -286,14 +286,14 @@
             load,
             keys: Vec::new(),
             jobs: 0,
-            births: 0,
+            restarts: 0,
             starts: 0,
-            told: Vec::new(),
+            traced: Vec::new(),
             fault: None,
         };
-        model.later(0, ModelEvent::Claim(1));
-        model.later(0, ModelEvent::Turn);
-        model.later(100, ModelEvent::Draw);
+        model.schedule(0, ModelEvent::Claim(1));
+        model.schedule(0, ModelEvent::Turn);
+        model.schedule(100, ModelEvent::RandomEvent);
         model
     }
 
@@ -307,16 +307,16 @@
         }
     }
 
-    fn later(&mut self, ms: u64, event: ModelEvent) {
+    fn schedule(&mut self, ms: u64, event: ModelEvent) {
         self.next_event += 1;
         self.events.insert((self.now + ms, self.next_event), event);
     }
 
-    fn tell(&mut self, what: String) {
-        self.told.push((self.now - BEGIN_MS, what));
+    fn trace(&mut self, what: String) {
+        self.traced.push((self.now - BEGIN_MS, what));
     }
 
-    fn happens(&mut self, one_in: u32) -> bool {
+    fn chance(&mut self, one_in: u32) -> bool {
         self.random.random_range(0..one_in) == 0
     }
 
@@ -331,7 +331,7 @@
 
     fn reaches(&mut self, term: u64, id: &str) -> bool {
         let name: Arc<str> = worker_name(id).into();
-        self.leader(term).is_some_and(|leader| !leader.cut.contains(&name))
+        self.leader(term).is_some_and(|leader| !leader.unreachable.contains(&name))
     }
 
     fn worker(&mut self, id: &str) -> Option<&mut ModelWorker> {
@@ -339,10 +339,10 @@
     }
 
     /// How long a call takes to its worker, and its answer back; nothing for one that is lost.
-    fn ways(&mut self) -> (Option<u64>, Option<u64>) {
+    fn draw_delays(&mut self) -> (Option<u64>, Option<u64>) {
         let way = match self.random.random_range(0..20) {
             0 => None,
-            1..4 => Some(self.random.random_range(0..LATE_MS)),
+            1..4 => Some(self.random.random_range(0..CALL_DELAY_MAX_MS)),
             4..10 => Some(self.random.random_range(0..800)),
             _ => Some(self.random.random_range(0..8)),
         };
@@ -357,31 +357,31 @@
     fn take(&mut self, event: ModelEvent) {
         match event {
             ModelEvent::Turn => self.turn(),
-            ModelEvent::Draw => self.draw(),
+            ModelEvent::RandomEvent => self.random_event(),
             ModelEvent::Send(term, id, key, run) => self.send(term, &id, key, run),
             ModelEvent::StartArrives(term, id, call, back) => {
                 self.start_arrives(term, id, &call, back);
             }
-            ModelEvent::StartTold(term, id, key, run, outcome) => {
-                self.tell(format!("{term} hears of {key}/{run} on {id}: {outcome:?}"));
+            ModelEvent::StartAnswered(term, id, key, run, outcome) => {
+                self.trace(format!("{term} hears of {key}/{run} on {id}: {outcome:?}"));
                 self.with(term, |scheduler, now| {
                     scheduler.handle_start_outcome(&id, &key, run, &outcome, now)
                 });
             }
             ModelEvent::NotSent(term, key, run) => {
-                self.tell(format!("{term} hears that {key}/{run} was not sent"));
+                self.trace(format!("{term} hears that {key}/{run} was not sent"));
                 self.with(term, |scheduler, now| scheduler.start_not_sent(&key, run, now));
             }
             ModelEvent::StopArrives(term, id, call, back) => {
                 let now = self.now;
                 let Some(worker) = self.worker(&id) else { return };
                 let outcome = worker.stop(&call, now);
-                self.tell(format!("stop of {}/{} at {id}: {outcome:?}", call.task, call.run));
+                self.trace(format!("stop of {}/{} at {id}: {outcome:?}", call.task, call.run));
                 if let Some(ms) = back {
-                    self.later(ms, ModelEvent::StopTold(term, id, call, outcome));
+                    self.schedule(ms, ModelEvent::StopAnswered(term, id, call, outcome));
                 }
             }
-            ModelEvent::StopTold(term, id, call, outcome) => {
+            ModelEvent::StopAnswered(term, id, call, outcome) => {
                 self.with(term, |scheduler, now| {
                     scheduler.handle_stop_outcome(&id, &call.task, call.run, &outcome, now);
                 });
@@ -389,7 +389,7 @@
             ModelEvent::RenewArrives(term, id, call, sent_ms, back) => {
                 self.renew_arrives(term, id, call, sent_ms, back);
             }
-            ModelEvent::RenewTold(term, id, call, sent_ms, outcome) => {
+            ModelEvent::RenewAnswered(term, id, call, sent_ms, outcome) => {
                 self.with(term, |scheduler, now| {
                     scheduler.handle_renewal_outcome(&id, &call, outcome, sent_ms, now);
                 });
@@ -397,7 +397,7 @@
                     leader.renewing.remove(&id);
                 }
             }
-            ModelEvent::ToldLate(term, id, call, sent_ms, report) => {
+            ModelEvent::AnsweredLate(term, id, call, sent_ms, report) => {
                 self.with(term, |scheduler, now| {
                     scheduler.handle_late_renewal(&id, &call, report, sent_ms, now);
                 });
@@ -405,12 +405,12 @@
             ModelEvent::Commit(term, batch) => self.commit(term, batch),
             ModelEvent::Claim(term) => self.claim(term),
             ModelEvent::TakeOver(term, seen_ms) => self.take_over(term, seen_ms),
-            ModelEvent::Seen(entry) => {
+            ModelEvent::EntryRead(entry) => {
                 for leader in &mut self.leaders {
                     leader.scheduler.worker_seen(entry.clone(), self.now);
                 }
             }
-            ModelEvent::Unlisted(name) => {
+            ModelEvent::EntryGone(name) => {
                 for leader in &mut self.leaders {
                     leader.scheduler.worker_unlisted(&name, self.now);
                 }
@@ -426,7 +426,7 @@
             self.turn_of(term);
         }
         self.leaders.retain(|leader| !leader.scheduler.is_deposed());
-        self.later(TURN_MS, ModelEvent::Turn);
+        self.schedule(TURN_MS, ModelEvent::Turn);
     }
 
     fn turn_of(&mut self, term: u64) {
@@ -454,9 +454,9 @@
         for action in actions {
             match action {
                 SchedulerAction::SendCommand(target, key, run) => {
-                    let lane_ms = if self.happens(8) { 700 } else { 20 };
+                    let lane_ms = if self.chance(8) { 700 } else { 20 };
                     let ms = self.random.random_range(0..lane_ms);
-                    self.later(ms, ModelEvent::Send(term, target.id, key, run));
+                    self.schedule(ms, ModelEvent::Send(term, target.id, key, run));
                 }
                 SchedulerAction::StopUntracked(target, call) => {
                     self.send_stop(term, &target.id, call)
@@ -497,14 +497,14 @@
             leader.is_committing = true;
         }
         let ms = self.random.random_range(4..30);
-        self.later(ms, ModelEvent::Commit(term, batch));
+        self.schedule(ms, ModelEvent::Commit(term, batch));
     }
 
     fn commit(&mut self, term: u64, batch: CommitBatch) {
         let epoch = self.epoch;
         let Some(leader) = self.leader(term) else { return };
         if !leader.reaches_log {
-            self.later(40, ModelEvent::Commit(term, batch));
+            self.schedule(40, ModelEvent::Commit(term, batch));
             return;
         }
         if epoch > term {
@@ -530,38 +530,38 @@
 
     fn send_start(&mut self, term: u64, id: &Arc<str>, call: StartCall) {
         let (key, run) = (call.task, call.run);
-        if self.happens(20) {
+        if self.chance(20) {
             let ms = self.random.random_range(1..1_000);
-            self.later(ms, ModelEvent::NotSent(term, key, run));
+            self.schedule(ms, ModelEvent::NotSent(term, key, run));
             return;
         }
-        let is_slow = self.load == TryLoad::Strained && self.happens(2);
-        let patience_ms = match is_slow {
-            true => PATIENCE_MS[1],
-            false => PATIENCE_MS[self.random.random_range(0..PATIENCE_MS.len())],
+        let is_slow = self.load == StartLoad::Strained && self.chance(2);
+        let timeout_ms = match is_slow {
+            true => START_TIMEOUTS_MS[1],
+            false => START_TIMEOUTS_MS[self.random.random_range(0..START_TIMEOUTS_MS.len())],
         };
         let (way, back) = match is_slow {
             true => {
                 let (way, back) = (0..300, 300..850);
                 (Some(self.random.random_range(way)), Some(self.random.random_range(back)))
             }
-            false => self.ways(),
+            false => self.draw_delays(),
         };
-        let way = match !is_slow && self.happens(3) {
-            true => Some(self.random.random_range(300..START_LATE_MS)),
+        let way = match !is_slow && self.chance(3) {
+            true => Some(self.random.random_range(300..EXECUTOR_DELAY_MAX_MS)),
             false => way,
         };
         let way = way.filter(|_| self.reaches(term, id));
-        self.tell(format!("{term} sends {key}/{run} to {id}, on its way {way:?}, back {back:?}"));
-        let told_ms = way.zip(back).map(|(way, back)| way + back).filter(|ms| *ms < patience_ms);
+        self.trace(format!("{term} sends {key}/{run} to {id}, on its way {way:?}, back {back:?}"));
+        let answered_ms = way.zip(back).map(|(way, back)| way + back).filter(|ms| *ms < timeout_ms);
         if let Some(ms) = way {
-            let back = told_ms.and(back);
-            self.later(ms, ModelEvent::StartArrives(term, id.clone(), call, back));
+            let back = answered_ms.and(back);
+            self.schedule(ms, ModelEvent::StartArrives(term, id.clone(), call, back));
         }
-        if told_ms.is_none() {
+        if answered_ms.is_none() {
             let unknown =
-                ModelEvent::StartTold(term, id.clone(), key, run, CommandOutcome::Unknown);
-            self.later(patience_ms, unknown);
+                ModelEvent::StartAnswered(term, id.clone(), key, run, CommandOutcome::Unknown);
+            self.schedule(timeout_ms, unknown);
         }
     }
 
@@ -569,11 +569,11 @@
         let now = self.now;
         let (key, run) = (call.task, call.run);
         let outcome = self.worker(&id).map(|worker| worker.start(call, now));
-        self.tell(format!("start of {key}/{run} at {id}: {outcome:?}"));
+        self.trace(format!("start of {key}/{run} at {id}: {outcome:?}"));
         // The life is over: the connection is closed.
         let outcome = outcome.unwrap_or(CommandOutcome::Unknown);
         if let Some(ms) = back {
-            self.later(ms, ModelEvent::StartTold(term, id, key, run, outcome));
+            self.schedule(ms, ModelEvent::StartAnswered(term, id, key, run, outcome));
         }
         self.starts += 1;
         self.check(key);
@@ -595,36 +595,36 @@
     }
 
     fn send_stop(&mut self, term: u64, id: &Arc<str>, call: RunCall) {
-        let (way, back) = self.ways();
+        let (way, back) = self.draw_delays();
         let way = way.filter(|_| self.reaches(term, id));
-        self.tell(format!("{term} stops {}/{} on {id}, on its way {way:?}", call.task, call.run));
-        let told_ms = way.zip(back).map(|(way, back)| way + back);
-        let told_ms = told_ms.filter(|ms| *ms < STOP_PATIENCE_MS);
+        self.trace(format!("{term} stops {}/{} on {id}, on its way {way:?}", call.task, call.run));
+        let answered_ms = way.zip(back).map(|(way, back)| way + back);
+        let answered_ms = answered_ms.filter(|ms| *ms < STOP_TIMEOUT_MS);
         if let Some(ms) = way {
-            let back = told_ms.and(back);
-            self.later(ms, ModelEvent::StopArrives(term, id.clone(), call, back));
+            let back = answered_ms.and(back);
+            self.schedule(ms, ModelEvent::StopArrives(term, id.clone(), call, back));
         }
     }
 
     fn renew(&mut self, term: u64, id: Arc<str>) {
         let plan = self.with(term, |scheduler, now| scheduler.renew_plan(&id, now));
         match plan {
-            Some(RenewPlan::Call(_, call, patience)) => {
+            Some(RenewPlan::Call(_, call, timeout)) => {
                 if let Some(leader) = self.leader(term) {
                     leader.renewing.insert(id.clone());
                 }
-                let patience_ms = u64::try_from(patience.as_millis()).expect("a short time");
-                let (way, back) = self.ways();
+                let timeout_ms = u64::try_from(timeout.as_millis()).expect("a short time");
+                let (way, back) = self.draw_delays();
                 let way = way.filter(|_| self.reaches(term, &id));
-                let told_ms = way.zip(back).map(|(way, back)| way + back);
+                let answered_ms = way.zip(back).map(|(way, back)| way + back);
                 if let Some(ms) = way {
                     let arrives = ModelEvent::RenewArrives(term, id.clone(), call, self.now, back);
-                    self.later(ms, arrives);
+                    self.schedule(ms, arrives);
                 }
-                if told_ms.is_none_or(|ms| ms >= patience_ms) {
+                if answered_ms.is_none_or(|ms| ms >= timeout_ms) {
                     let unknown = CommandOutcome::Unknown;
-                    let told = ModelEvent::RenewTold(term, id, call, self.now, unknown);
-                    self.later(patience_ms, told);
+                    let answered = ModelEvent::RenewAnswered(term, id, call, self.now, unknown);
+                    self.schedule(timeout_ms, answered);
                 }
             }
             Some(RenewPlan::Wait(_)) => {}
@@ -650,11 +650,11 @@
         let Some(back) = back else { return };
         let took_ms = now + back - sent_ms;
         if took_ms < 300 {
-            self.later(back, ModelEvent::RenewTold(term, id, call, sent_ms, outcome));
+            self.schedule(back, ModelEvent::RenewAnswered(term, id, call, sent_ms, outcome));
         } else if let CommandOutcome::Done(report) = outcome
-            && took_ms < READ_ON_MS
+            && took_ms < ANSWER_AGE_MAX_MS
         {
-            self.later(back, ModelEvent::ToldLate(term, id, call, sent_ms, report));
+            self.schedule(back, ModelEvent::AnsweredLate(term, id, call, sent_ms, report));
         }
     }
 
@@ -665,15 +665,15 @@
         }
         let quiet_ms = self.now - self.renewed_ms;
         if term > 1 && quiet_ms < RENEWAL_TIMEOUT_MS {
-            self.later(RENEWAL_TIMEOUT_MS - quiet_ms, ModelEvent::Claim(term));
+            self.schedule(RENEWAL_TIMEOUT_MS - quiet_ms, ModelEvent::Claim(term));
             return;
         }
         self.claimed = term;
         let seen_ms = self.renewed_ms;
         self.renewed_ms = self.now;
-        self.tell(format!("{term} claims, last seen {}", seen_ms.saturating_sub(BEGIN_MS)));
+        self.trace(format!("{term} claims, last seen {}", seen_ms.saturating_sub(BEGIN_MS)));
         let ms = self.random.random_range(10..200);
-        self.later(ms, ModelEvent::TakeOver(term, seen_ms));
+        self.schedule(ms, ModelEvent::TakeOver(term, seen_ms));
     }
 
     fn take_over(&mut self, term: u64, seen_ms: u64) {
@@ -699,7 +699,7 @@
             scheduler,
             term,
             reaches_log: true,
-            cut: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             watched: BTreeSet::new(),
             renewing: BTreeSet::new(),
             is_committing: false,
@@ -707,18 +707,18 @@
         });
         // Each leader has its own links.
         for position in 0..WORKERS {
-            if self.happens(4) {
-                self.toggle_cut(term, position);
+            if self.chance(4) {
+                self.toggle_link(term, position);
             }
         }
     }
 
-    fn toggle_cut(&mut self, term: u64, position: usize) {
+    fn toggle_link(&mut self, term: u64, position: usize) {
         let name: Arc<str> = worker_name(&self.workers[position].entry.id).into();
-        self.tell(format!("{term} and {name}: cut or joined"));
+        self.trace(format!("{term} and {name}: cut or joined"));
         let Some(leader) = self.leader(term) else { return };
-        if !leader.cut.remove(&name) {
-            leader.cut.insert(name);
+        if !leader.unreachable.remove(&name) {
+            leader.unreachable.insert(name);
         }
     }
 
@@ -726,17 +726,19 @@
         self.leaders.iter().map(|leader| leader.term).max()
     }
 
-    fn draw(&mut self) {
+    fn random_event(&mut self) {
         let position = self.random.random_range(0..WORKERS);
         let kind = self.random.random_range(0..100);
         match kind {
             0..16 => self.submit(),
             16..32 => self.workers[position].is_full ^= true,
-            32..37 => self.workers[position].is_unwell ^= true,
-            85..100 if self.load == TryLoad::Strained => self.workers[position].is_unwell ^= true,
+            32..37 => self.workers[position].is_unhealthy ^= true,
+            85..100 if self.load == StartLoad::Strained => {
+                self.workers[position].is_unhealthy ^= true
+            }
             37..44 => {
                 if let Some(term) = self.newest_term() {
-                    self.toggle_cut(term, position);
+                    self.toggle_link(term, position);
                 }
             }
             44..48 => self.lose_leader(),
@@ -747,7 +749,7 @@
             _ => {}
         }
         let ms = self.random.random_range(20..250);
-        self.later(ms, ModelEvent::Draw);
+        self.schedule(ms, ModelEvent::RandomEvent);
     }
 
     fn submit(&mut self) {
@@ -755,7 +757,7 @@
             return;
         }
         self.jobs += 1;
-        let step = if self.happens(4) { service_step(1) } else { step(2) };
+        let step = if self.chance(4) { service_step(1) } else { step(2) };
         let count = step.count;
         let id = job_id(self.jobs);
         let record = JobRecord::Submitted(id, Arc::new(submission(job(vec![step]))));
@@ -771,30 +773,31 @@
     /// The newest leader is killed, or cut off from the log and works on.
     fn lose_leader(&mut self) {
         let Some(term) = self.newest_term().filter(|term| *term == self.claimed) else { return };
-        let is_killed = self.happens(3);
-        self.tell(format!("{term} is lost, killed: {is_killed}"));
+        let is_killed = self.chance(3);
+        self.trace(format!("{term} is lost, killed: {is_killed}"));
         if is_killed {
             self.leaders.retain(|leader| leader.term != term);
         } else if let Some(leader) = self.leader(term) {
             leader.reaches_log = false;
         }
-        self.later(1, ModelEvent::Claim(term + 1));
+        self.schedule(1, ModelEvent::Claim(term + 1));
     }
 
     /// A worker begins anew under its name; leaders read of it a moment later.
     fn restart_worker(&mut self, position: usize) {
-        self.births += 1;
+        self.restarts += 1;
         let (now, slow_percent) = (self.now, self.workers[position].slow_percent);
         let before = &self.workers[position].entry;
         let entry = WorkerEntry {
             id: incarnation_id(worker_name(&before.id), Some(now)),
             ..before.clone()
         };
-        self.tell(format!("{} begins anew as {}", before.id, entry.id));
+        self.trace(format!("{} begins anew as {}", before.id, entry.id));
         let next = ModelWorker::begin(entry.clone(), slow_percent, now);
-        self.workers[position] = ModelWorker { sheds: self.load == TryLoad::Strained, ..next };
+        self.workers[position] =
+            ModelWorker { is_shedding: self.load == StartLoad::Strained, ..next };
         let ms = self.random.random_range(20..1_500);
-        self.later(ms, ModelEvent::Seen(entry));
+        self.schedule(ms, ModelEvent::EntryRead(entry));
     }
 
     /// Entries of workers go and come back, also while the workers run on.
@@ -802,13 +805,13 @@
         let worker = &mut self.workers[position];
         worker.is_listed ^= true;
         let (is_listed, entry) = (worker.is_listed, worker.entry.clone());
-        self.tell(format!("{} listed: {is_listed}", entry.id));
+        self.trace(format!("{} listed: {is_listed}", entry.id));
         let ms = self.random.random_range(5..300);
         let event = match is_listed {
-            true => ModelEvent::Seen(entry),
-            false => ModelEvent::Unlisted(worker_name(&entry.id).into()),
+            true => ModelEvent::EntryRead(entry),
+            false => ModelEvent::EntryGone(worker_name(&entry.id).into()),
         };
-        self.later(ms, event);
+        self.schedule(ms, event);
     }
 
     fn list_vms(&mut self) {
@@ -829,53 +832,53 @@
         let kind =
             if self.random.random_range(0..2) == 0 { ExitKind::Failed } else { ExitKind::Done };
         worker.end(key, kind);
-        self.tell(format!("{key} ends on worker {position}"));
+        self.trace(format!("{key} ends on worker {position}"));
     }
 
     /// What was told of the task with two runs, and of all workers and leaders.
-    fn story(&self, fault: &str) -> String {
+    fn trace_of(&self, fault: &str) -> String {
         let name = fault.split(' ').next().unwrap_or_default();
         let is_other = |line: &str| {
             self.keys.iter().any(|key| key.to_string() != name && line.contains(&key.to_string()))
         };
-        let lines = self.told.iter().filter(|(_, line)| !is_other(line));
+        let lines = self.traced.iter().filter(|(_, line)| !is_other(line));
         lines.map(|(ms, line)| format!("{ms:>6} {line}\n")).collect()
     }
 }
 
-fn number(name: &str, usual: u64) -> u64 {
+fn env_number(name: &str, usual: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
 /// Plays histories from this seed on, unless another is asked for.
-fn play(load: TryLoad, usual_seed: u64) {
-    let first = number("IBISWEIR_TEST_SEED", usual_seed);
-    let (mut starts, mut broken, mut story) = (0, Vec::new(), String::new());
-    for seed in first..first + number("IBISWEIR_TEST_RUNS", RUNS) {
+fn run_histories(load: StartLoad, usual_seed: u64) {
+    let first = env_number("IBISWEIR_TEST_SEED", usual_seed);
+    let (mut starts, mut broken, mut trace_of) = (0, Vec::new(), String::new());
+    for seed in first..first + env_number("IBISWEIR_TEST_RUNS", RUNS) {
         let mut model = Model::open(load, seed);
         model.run();
         starts += model.starts;
         if let Some(fault) = &model.fault {
             if broken.is_empty() {
-                story = format!("seed {seed}: {fault}\n{}", model.story(fault));
+                trace_of = format!("seed {seed}: {fault}\n{}", model.trace_of(fault));
             }
             broken.push(seed);
         }
     }
     println!("{starts} starts");
-    assert!(broken.is_empty(), "broken with seeds {broken:?}\n{story}");
+    assert!(broken.is_empty(), "broken with seeds {broken:?}\n{trace_of}");
     assert!(starts > 0, "the histories must show something");
 }
 
 /// Guards against orders of events in which a run is taken for over, or for never begun, while its worker has it or
 /// may yet take it.
 #[test]
-fn no_task_has_two_runs_in_any_order_of_tries_and_leaders() {
-    play(TryLoad::Usual, 1);
+fn no_task_has_two_runs_in_any_order_of_attempts_and_leaders() {
+    run_histories(StartLoad::Usual, 1);
 }
 
 /// Guards against the same where one try of a start is refused beside another that is carried out.
 #[test]
-fn no_task_has_two_runs_where_workers_refuse_a_part_of_their_starts() {
-    play(TryLoad::Strained, 1);
+fn no_task_has_two_runs_where_workers_refuse_some_starts() {
+    run_histories(StartLoad::Strained, 1);
 }
--- a/tests/start_deadline.rs
+++ b/tests/start_deadline.rs
@@ -19,15 +19,15 @@
 };
 
 /// A start that is on its way to the only worker, and when all was known that the job log held.
-struct HangingStart {
+struct DelayedStart {
     sim: SchedulerSim,
     key: TaskKey,
     shown_ms: u64,
 }
 
-impl HangingStart {
+impl DelayedStart {
     /// One that was sent by a view of the jobs that is almost as old as it may be.
-    fn open(slow_percent: u64, idle_ms: u64) -> HangingStart {
+    fn open(slow_percent: u64, idle_ms: u64) -> DelayedStart {
         let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
         let w0 = sim.workers.get_mut("w0").expect("known");
         w0.slow_percent = slow_percent;
@@ -39,7 +39,7 @@
         sim.advance(bounds().cancel_ms / 2 - 100);
         let id = sim.submit(1, job(vec![step(1)]));
         assert_eq!(sim.workers["w0"].late.len(), 1, "it is on its way");
-        HangingStart { sim, key: task(id, 0, 0), shown_ms }
+        DelayedStart { sim, key: task(id, 0, 0), shown_ms }
     }
 
     /// Whether the worker carries it out if it comes that long after the view. The leader does nothing more.
@@ -53,26 +53,26 @@
 /// Guards against a start that was decided just before its job was cancelled and that the network delivers seconds
 /// later, while its leader stands still and sends no stop.
 #[test]
-fn a_start_that_comes_after_the_bound_is_refused() {
-    assert!(!HangingStart::open(0, 0).begins_after(bounds().cancel_ms));
-    assert!(HangingStart::open(0, 0).begins_after(bounds().cancel_ms - 200), "it came in time");
+fn a_start_that_arrives_after_the_deadline_is_refused() {
+    assert!(!DelayedStart::open(0, 0).begins_after(bounds().cancel_ms));
+    assert!(DelayedStart::open(0, 0).begins_after(bounds().cancel_ms - 200), "it came in time");
 }
 
 /// Guards against the same on a worker whose clock is slow, and was last read a while ago.
 #[test]
 fn a_slow_clock_lets_no_start_begin_later() {
     for idle_ms in [0, 20_000] {
-        assert!(!HangingStart::open(2, idle_ms).begins_after(bounds().cancel_ms));
+        assert!(!DelayedStart::open(2, idle_ms).begins_after(bounds().cancel_ms));
         let early_ms = bounds().cancel_ms - 200;
-        assert!(HangingStart::open(2, idle_ms).begins_after(early_ms), "it came in time");
+        assert!(DelayedStart::open(2, idle_ms).begins_after(early_ms), "it came in time");
     }
 }
 
 /// Guards against the same start when another entry carries it out for the leader.
 #[tokio::test]
-async fn a_start_of_an_executor_that_comes_after_the_bound_is_refused() {
+async fn a_delegated_start_that_arrives_after_the_deadline_is_refused() {
     for (after_ms, begins) in [(bounds().cancel_ms, false), (bounds().cancel_ms - 200, true)] {
-        let mut start = HangingStart::open(0, 0);
+        let mut start = DelayedStart::open(0, 0);
         let w0 = start.sim.workers.get_mut("w0").expect("known");
         let sent: Vec<StartCall> = std::mem::take(&mut w0.late);
         let carried = carry_out_all(&sent).await;
@@ -105,15 +105,15 @@
 
 /// Guards against a task that waits long for a worker that was idle, whose clock is ahead of what is known of it.
 #[test]
-fn a_start_that_is_refused_as_late_goes_out_again_at_once() {
+fn a_start_refused_as_late_is_sent_again_at_once() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     sim.are_renewals_muted = true;
     sim.advance(200_000);
     let id = sim.submit(1, job(vec![step(1)]));
     assert_eq!(sim.workers["w0"].late_refusals, 1);
     assert_eq!(sim.starts(task(id, 0, 0)), 1);
-    let is_late = |note: &&SchedulerEvent| {
-        matches!(note, SchedulerEvent::StartRefused { reason: "late_lease", .. })
+    let is_late = |event: &&SchedulerEvent| {
+        matches!(event, SchedulerEvent::StartRefused { reason: "late_lease", .. })
     };
     assert_eq!(sim.events.iter().filter(is_late).count(), 1, "operators see it");
 }
@@ -121,9 +121,9 @@
 /// Guards against a leader that sends refused starts again and again, with nothing new to say: its view of the jobs
 /// is old, or the worker does not tell its clock.
 #[test]
-fn a_start_that_is_refused_as_late_is_not_sent_without_end() {
+fn a_start_refused_as_late_is_not_repeated_without_end() {
     for is_view_old in [true, false] {
-        let mut start = HangingStart::open(0, 0);
+        let mut start = DelayedStart::open(0, 0);
         let (key, sim) = (start.key, &mut start.sim);
         let clock_ms = is_view_old.then_some(sim.now + bounds().cancel_ms);
         let refused = CommandOutcome::Refused(CommandRefusal::LeaseExpired, clock_ms);
@@ -153,26 +153,26 @@
 /// Guards against work that lapses as its lease was that of its start: a worker that was idle is to have a whole
 /// lease before its first start comes.
 #[test]
-fn a_worker_that_was_idle_is_given_a_lease_before_its_first_start() {
+fn an_idle_worker_gets_a_full_lease_before_its_first_start() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     sim.advance(10_000);
     sim.immediate_renewals.clear();
     sim.is_log_up = false;
     let id = sim.submit(1, job(vec![step(1)]));
     assert_eq!(sim.immediate_renewals, ["w0".into()], "while the start waits for the log");
-    let whole_ms = sim.now + bounds().lease_max_ms - 300;
-    assert!(sim.workers["w0"].lease_until_ms >= whole_ms);
+    let full_ms = sim.now + bounds().lease_max_ms - 300;
+    assert!(sim.workers["w0"].lease_until_ms >= full_ms);
     sim.are_renewals_muted = true;
     sim.is_log_up = true;
     sim.run_until_idle();
-    assert!(sim.workers["w0"].lease_until_ms >= whole_ms, "its start does not shorten it");
+    assert!(sim.workers["w0"].lease_until_ms >= full_ms, "its start does not shorten it");
     sim.advance_unconfirmed(bounds().cancel_ms);
     assert_eq!(sim.alive(task(id, 0, 0)), 1);
 }
 
 /// Guards against the same where that renewal is lost: the next one gives the whole lease.
 #[test]
-fn one_renewal_gives_the_whole_lease() {
+fn one_renewal_grants_the_full_lease() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     sim.advance(10_000);
     sim.are_renewals_muted = true;
@@ -186,12 +186,12 @@
 /// Guards against a task that is started a second time while its first run may be alive, and against one that waits
 /// longer than that: a short lease is booked as long as it may last, on a clock that is right and on one that is slow.
 #[test]
-fn the_lease_of_a_start_is_booked_as_long_as_it_may_last() {
+fn the_lease_of_a_start_counts_for_as_long_as_it_may_last() {
     let (sampled_ms, deadline_ms) = (100_000, 102_900);
-    let mut booked = WorkerState::new(worker("w0", "r0"), 0, 0);
-    booked.sample_clock(50_000, sampled_ms);
-    let until = booked.start_until(5_800, deadline_ms, 101_000).expect("its clock is known");
-    let bound = booked.lease_bound_ms();
+    let mut counted = WorkerState::new(worker("w0", "r0"), 0, 0);
+    counted.sample_clock(50_000, sampled_ms);
+    let until = counted.start_until(5_800, deadline_ms, 101_000).expect("its clock is known");
+    let bound = counted.lease_bound_ms();
     for percent in [98, 100] {
         let clock = |ms: u64| 50_000 + (ms - sampled_ms) * percent / 100;
         assert!(clock(deadline_ms) >= until, "no start begins after the deadline");
@@ -203,7 +203,7 @@
 /// Guards against a start that is sent again and again, or waits in its lane, until long after its worker was known to
 /// be leaving.
 #[test]
-fn no_start_goes_out_to_a_worker_that_is_known_to_leave() {
+fn no_start_is_sent_to_a_worker_that_is_known_to_be_leaving() {
     for is_sent in [false, true] {
         let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0"), worker("w1", "r0")]);
         sim.is_lane_held = !is_sent;
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -98,15 +98,15 @@
     watched: BTreeSet<Arc<str>>,
     crashes: u32,
     /// Workers that are going to crash, or that have and whose next lives are not listed yet.
-    doomed: Vec<DoomedWorker>,
+    crashing_workers: Vec<CrashingWorker>,
 }
 
 /// A worker under a task that crashes it.
-struct DoomedWorker {
+struct CrashingWorker {
     id: Arc<str>,
     crash_ms: u64,
     /// When the VM list shows its next life.
-    reborn_ms: u64,
+    restarted_ms: u64,
 }
 
 impl SchedulerSim {
@@ -159,7 +159,7 @@
             unlisted: BTreeSet::new(),
             watched: BTreeSet::new(),
             crashes: 0,
-            doomed: Vec::new(),
+            crashing_workers: Vec::new(),
         };
         sim.list_workers();
         sim.run_until_idle();
@@ -185,7 +185,7 @@
 
     /// Runs that are planned for a worker or on it.
     pub fn scheduled_on(&self, id: &str) -> usize {
-        let is_placed = |note: &&SchedulerEvent| matches!(note, SchedulerEvent::Placed { worker, .. } if **worker == *id);
+        let is_placed = |event: &&SchedulerEvent| matches!(event, SchedulerEvent::Placed { worker, .. } if **worker == *id);
         self.events.iter().filter(is_placed).count()
     }
 
@@ -228,7 +228,7 @@
         let end = self.now + ms;
         while self.now < end {
             self.now = (self.now + 20).min(end);
-            self.crash_doomed();
+            self.crash_due();
             self.expire_leases();
             self.scheduler.confirm(self.now);
             if self.is_reading_workers {
@@ -322,7 +322,7 @@
             let position = self.entries.iter().position(|entry| &*entry.id == *id);
             let entry = &mut self.entries[position.expect("the worker is known")];
             entry.id = format!("{}-{}", id.split('-').next().unwrap_or(id), self.crashes).into();
-            self.doomed.retain(|doom| &*doom.id != *id);
+            self.crashing_workers.retain(|crashing| &*crashing.id != *id);
         }
         self.list_workers();
         let vms = self.entries.iter().map(|entry| vm(entry, POOL)).collect();
@@ -331,31 +331,34 @@
     }
 
     /// Lets workers crash under the tasks that do that, and brings the next lives.
-    fn crash_doomed(&mut self) {
+    fn crash_due(&mut self) {
         let now = self.now;
-        let (over, doomed): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.doomed).into_iter().partition(|doom| doom.reborn_ms <= now);
-        for doom in &doomed {
-            if doom.crash_ms <= now {
-                let worker = self.workers.get_mut(&doom.id).expect("it is doomed once");
+        let (over, crashing_workers): (Vec<_>, Vec<_>) = std::mem::take(&mut self.crashing_workers)
+            .into_iter()
+            .partition(|crashing| crashing.restarted_ms <= now);
+        for crashing in &crashing_workers {
+            if crashing.crash_ms <= now {
+                let worker = self.workers.get_mut(&crashing.id).expect("it crashes once");
                 worker.is_silent = true;
                 worker.running.clear();
             }
         }
-        self.doomed = doomed;
-        for doom in over {
-            self.crash(&doom.id);
+        self.crashing_workers = crashing_workers;
+        for crashing in over {
+            self.crash(&crashing.id);
         }
     }
 
     /// Whether a start dooms its worker.
-    fn doom(&mut self, id: &Arc<str>, task: &TaskKey) {
-        if !self.crashing_tasks.contains(task) || self.doomed.iter().any(|doom| doom.id == *id) {
+    fn schedule_crash(&mut self, id: &Arc<str>, task: &TaskKey) {
+        if !self.crashing_tasks.contains(task)
+            || self.crashing_workers.iter().any(|crashing| crashing.id == *id)
+        {
             return;
         }
         let crash_ms = self.now + self.crash_after_ms;
-        let reborn_ms = crash_ms + self.restart_ms;
-        self.doomed.push(DoomedWorker { id: id.clone(), crash_ms, reborn_ms });
+        let restarted_ms = crash_ms + self.restart_ms;
+        self.crashing_workers.push(CrashingWorker { id: id.clone(), crash_ms, restarted_ms });
     }
 
     fn expire_leases(&mut self) {
@@ -467,8 +470,8 @@
                 self.lists_asked += 1;
                 return false;
             }
-            SchedulerAction::Event(note) => {
-                self.events.push(note);
+            SchedulerAction::Event(event) => {
+                self.events.push(event);
                 return false;
             }
             SchedulerAction::RenewNow(worker) => {
@@ -549,7 +552,7 @@
                 self.reach(id).expect("it has begun").exit(call.task, call.run, ExitKind::Done);
             }
             self.started.push((call.task, call.run, id.clone()));
-            self.doom(id, &call.task);
+            self.schedule_crash(id, &call.task);
         }
         if self.crashing_tasks.contains(&call.task) && !self.is_start_answered {
             return CommandOutcome::Unknown;
