--- a/src/decide/access.rs
+++ b/src/decide/access.rs
@@ -87,8 +87,8 @@
 }
 
 impl From<AccessTable> for Vec<OrganisationSpec> {
-    fn from(book: AccessTable) -> Vec<OrganisationSpec> {
-        book.organisations
+    fn from(table: AccessTable) -> Vec<OrganisationSpec> {
+        table.organisations
     }
 }
 
@@ -115,12 +115,12 @@
 
 impl RevocationRule {
     /// Whether keys may be honoured by a configuration that was the newest when a reading began at
-    /// `shown_ms`; nothing for one that no reading has shown to be.
-    pub fn may_honour(&self, shown_ms: Option<u64>, now: u64) -> bool {
+    /// `confirmed_ms`; nothing for one that no reading has shown to be.
+    pub fn may_honour(&self, confirmed_ms: Option<u64>, now: u64) -> bool {
         if !self.is_strict {
             return true;
         }
-        shown_ms.is_some_and(|shown| now < shown + self.bound_ms * HONOUR_PERCENT / 100)
+        confirmed_ms.is_some_and(|confirmed| now < confirmed + self.bound_ms * HONOUR_PERCENT / 100)
     }
 }
 
@@ -168,8 +168,8 @@
 
     /// Reads 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<OrganisationDigest> {
-        let mark = u64::from_str_radix(text, 16).ok().map(OrganisationDigest)?;
-        (mark.to_string() == text).then_some(mark)
+        let digest = u64::from_str_radix(text, 16).ok().map(OrganisationDigest)?;
+        (digest.to_string() == text).then_some(digest)
     }
 
     /// Whether such a caller may see and cancel a job of this organisation, as [`CallerAccess::may_see`] says.
@@ -184,15 +184,18 @@
     }
 }
 
-/// Lets a caller in, or says why not; `book` is nothing before a reading shows a configuration whose keys may
+/// Lets a caller in, or says why not; `table` is nothing before a reading shows a configuration whose keys may
 /// be honoured.
 ///
 /// # Errors
 /// As [`AccessRefusal`] says. A key that is unknown to a configuration that may be out of date is not called
 /// unknown: it may have been given out since.
-pub fn admit(book: Option<&AccessTable>, key: PresentedKey) -> Result<CallerAccess, AccessRefusal> {
+pub fn admit(
+    table: Option<&AccessTable>,
+    key: PresentedKey,
+) -> Result<CallerAccess, AccessRefusal> {
     let PresentedKey::Given(key) = key else { return Err(AccessRefusal::NoKey) };
-    let book = book.ok_or(AccessRefusal::Unconfirmed)?;
-    let owner = book.owner(&key).ok_or(AccessRefusal::UnknownKey)?;
+    let table = table.ok_or(AccessRefusal::Unconfirmed)?;
+    let owner = table.owner(&key).ok_or(AccessRefusal::UnknownKey)?;
     Ok(CallerAccess { organisation: Some(owner.name.clone()) })
 }
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -7,7 +7,7 @@
 /// Runs before an estimate is worth something.
 const RUNS_MIN: u32 = 5;
 /// Deviations above the average that nearly all runs stay below.
-const DEVIATIONS: f64 = 4.0;
+const DEVIATION_FACTOR: f64 = 4.0;
 
 /// Average run time and mean deviation (as RFC 6298 keeps a round-trip time).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -39,8 +39,8 @@
 
     /// A time that nearly all runs stay below; none before enough was seen.
     pub fn upper_bound(&self) -> Option<Duration> {
-        let slow = self.average + DEVIATIONS * self.deviation;
-        (self.runs >= RUNS_MIN).then(|| Duration::from_secs_f64(slow.max(0.0)))
+        let bound = self.average + DEVIATION_FACTOR * self.deviation;
+        (self.runs >= RUNS_MIN).then(|| Duration::from_secs_f64(bound.max(0.0)))
     }
 }
 
--- a/src/decide/executor.rs
+++ b/src/decide/executor.rs
@@ -20,9 +20,9 @@
 /// Age from which an offer counts no more, in milliseconds: two offers may be lost.
 const OFFER_AGE_MAX_MS: u64 = 4_000;
 /// Starts that one entry may have under way: at 2 Mbit/s it sends out that many in a quarter of a second.
-const UNDER_WAY_MAX: usize = 48;
+const IN_FLIGHT_MAX: usize = 48;
 /// Time for which an entry is passed over after a batch without an answer, in milliseconds.
-const PASS_OVER_MS: u64 = 1_500;
+const EXCLUSION_MS: u64 = 1_500;
 
 /// An entry that can carry out starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug)]
 struct KnownExecutor {
     offer: ExecutorOffer,
-    heard_ms: u64,
-    under_way: usize,
-    passed_over_until_ms: u64,
+    offered_ms: u64,
+    in_flight: usize,
+    excluded_until_ms: u64,
 }
 
 /// Entries that have offered to carry out starts.
@@ -72,19 +72,19 @@
     pub fn record_offer(&mut self, offer: ExecutorOffer, now: u64) {
         let address = offer.address;
         self.known
-            .retain(|_, known| now < known.heard_ms + OFFER_AGE_MAX_MS || known.under_way > 0);
+            .retain(|_, known| now < known.offered_ms + OFFER_AGE_MAX_MS || known.in_flight > 0);
         let known = self.known.entry(address).or_insert_with(|| KnownExecutor {
             offer: offer.clone(),
-            heard_ms: now,
-            under_way: 0,
-            passed_over_until_ms: 0,
+            offered_ms: now,
+            in_flight: 0,
+            excluded_until_ms: 0,
         });
         // Another life was not there when the one before it failed.
         if known.offer.incarnation != offer.incarnation {
-            known.passed_over_until_ms = 0;
+            known.excluded_until_ms = 0;
         }
         known.offer = offer;
-        known.heard_ms = now;
+        known.offered_ms = now;
     }
 
     /// Whether some entry can take a start.
@@ -94,7 +94,7 @@
 
     /// Whether there are entries that take starts, if not at this moment.
     pub fn has_live_offers(&self, now: u64) -> bool {
-        self.known.values().any(|known| now < known.heard_ms + OFFER_AGE_MAX_MS)
+        self.known.values().any(|known| now < known.offered_ms + OFFER_AGE_MAX_MS)
     }
 
     /// The entry for starts on workers of a data centre: one that will soon be through, and beside them if it
@@ -115,8 +115,8 @@
         now: u64,
     ) -> Option<ExecutorStamp> {
         let known = self.known.get_mut(&address)?;
-        known.under_way += count;
-        let since = now.saturating_sub(known.heard_ms);
+        known.in_flight += count;
+        let since = now.saturating_sub(known.offered_ms);
         Some(ExecutorStamp {
             incarnation: known.offer.incarnation,
             sent_ms: known.offer.clock_ms + since,
@@ -126,30 +126,30 @@
     /// A batch was answered, or not.
     pub fn end_batch(&mut self, address: SocketAddr, count: usize, is_answered: bool, now: u64) {
         let Some(known) = self.known.get_mut(&address) else { return };
-        known.under_way = known.under_way.saturating_sub(count);
+        known.in_flight = known.in_flight.saturating_sub(count);
         if !is_answered {
-            known.passed_over_until_ms = now + PASS_OVER_MS;
+            known.excluded_until_ms = now + EXCLUSION_MS;
         }
     }
 
     /// Addresses of some entries that were heard lately, of as many data centres as there are.
     pub fn sample(&self, count: usize, now: u64) -> Vec<SocketAddr> {
-        let mut heard: Vec<&KnownExecutor> =
-            self.known.values().filter(|known| known.is_heard(now)).collect();
+        let mut available: Vec<&KnownExecutor> =
+            self.known.values().filter(|known| known.is_available(now)).collect();
         // By the position in its data centre: the first of each, then the second.
         let mut seen: BTreeMap<&str, usize> = BTreeMap::new();
-        heard.sort_by_cached_key(|known| {
+        available.sort_by_cached_key(|known| {
             let position = seen.entry(&known.offer.centre).or_default();
             *position += 1;
             *position
         });
-        heard.iter().take(count).map(|known| known.offer.address).collect()
+        available.iter().take(count).map(|known| known.offer.address).collect()
     }
 
     /// Entries that take starts now, and starts that are under way through any.
     pub fn counts(&self, now: u64) -> (usize, usize) {
-        let taking = self.known.values().filter(|known| known.is_heard(now)).count();
-        (taking, self.known.values().map(|known| known.under_way).sum())
+        let available = self.known.values().filter(|known| known.is_available(now)).count();
+        (available, self.known.values().map(|known| known.in_flight).sum())
     }
 }
 
@@ -157,15 +157,15 @@
     /// Batches under way and the next one, against its processor: a start takes a millisecond or two of a core,
     /// which on an eighth of one is a tenth of a second for a batch.
     fn load(&self) -> u64 {
-        let batches = u64::try_from(self.under_way / BATCH_MAX + 1).unwrap_or(u64::MAX);
+        let batches = u64::try_from(self.in_flight / BATCH_MAX + 1).unwrap_or(u64::MAX);
         batches * 1_000 / self.offer.processor.max(1)
     }
 
-    fn is_heard(&self, now: u64) -> bool {
-        now < self.heard_ms + OFFER_AGE_MAX_MS && now >= self.passed_over_until_ms
+    fn is_available(&self, now: u64) -> bool {
+        now < self.offered_ms + OFFER_AGE_MAX_MS && now >= self.excluded_until_ms
     }
 
     fn has_capacity(&self, now: u64) -> bool {
-        self.is_heard(now) && self.under_way < UNDER_WAY_MAX
+        self.is_available(now) && self.in_flight < IN_FLIGHT_MAX
     }
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -272,7 +272,7 @@
             return FleetOutcome::AlreadyApplied;
         }
         self.through = offset + 1;
-        let verdict = match &record.body {
+        let outcome = match &record.body {
             FleetBody::Claim { term } => self.claim(offset, &record.by, *term),
             FleetBody::Join { peer } => self.join(offset, record, peer),
             FleetBody::Leave => self.leave(offset, &record.by),
@@ -280,7 +280,7 @@
             FleetBody::Act { term, act } => self.act(offset, record, *term, act),
         };
         self.assert_ownership();
-        verdict
+        outcome
     }
 
     /// Skips a record that can't be read; every process skips the same one.
@@ -332,8 +332,8 @@
             return FleetOutcome::Refused;
         }
         // Twice, so that no key that it ran is still within its window when it is forgotten.
-        let forgotten = |entry: &EvictedEntry| entry.at_ms + 2 * AUTONOMY_MS < record.at_ms;
-        self.evicted.retain(|_, entry| !forgotten(entry));
+        let is_forgotten = |entry: &EvictedEntry| entry.at_ms + 2 * AUTONOMY_MS < record.at_ms;
+        self.evicted.retain(|_, entry| !is_forgotten(entry));
         let Some(lane) = self.free_lane(record.at_ms) else { return FleetOutcome::Refused };
         let entry = RosterEntry { peer: peer.to_owned(), joined: offset, lane };
         self.roster.insert(record.by.clone(), entry);
@@ -343,8 +343,9 @@
     }
 
     fn free_lane(&self, at_ms: u64) -> Option<u32> {
-        let may_use = |entry: &&EvictedEntry| entry.at_ms + AUTONOMY_MS + CLOCK_SKEW_MS >= at_ms;
-        let evicted = self.evicted.values().filter(may_use).map(|entry| entry.lane);
+        let may_be_in_use =
+            |entry: &&EvictedEntry| entry.at_ms + AUTONOMY_MS + CLOCK_SKEW_MS >= at_ms;
+        let evicted = self.evicted.values().filter(may_be_in_use).map(|entry| entry.lane);
         let held: BTreeSet<u32> =
             self.roster.values().map(|entry| entry.lane).chain(evicted).collect();
         (0..ENTRY_LANES).find(|lane| !held.contains(lane))
@@ -365,8 +366,8 @@
     }
 
     fn evict(&mut self, offset: u64, at_ms: u64, entry: &EntryName) -> FleetOutcome {
-        let Some(gone) = self.roster.remove(entry) else { return FleetOutcome::Refused };
-        self.evicted.insert(entry.clone(), EvictedEntry { at_ms, lane: gone.lane });
+        let Some(removed) = self.roster.remove(entry) else { return FleetOutcome::Refused };
+        self.evicted.insert(entry.clone(), EvictedEntry { at_ms, lane: removed.lane });
         self.roster_epoch = offset;
         self.steward = self.steward.take().filter(|steward| steward != entry);
         for vm in self.vms.values_mut() {
@@ -409,8 +410,8 @@
                 self.drain(offset, record.at_ms, vm, reason, *limit_ms)
             }
             StewardAct::Reboot { vm } => self.reboot(record.at_ms, vm),
-            StewardAct::Return { vm, boot } => self.give_back(offset, vm, *boot),
-            StewardAct::Lost { vm } => self.lose(vm),
+            StewardAct::Return { vm, boot } => self.return_vm(offset, vm, *boot),
+            StewardAct::Lost { vm } => self.mark_lost(vm),
             StewardAct::Release { vm } => self.release(vm),
             StewardAct::Spend { product, day, worker_ms } => self.spend(product, *day, *worker_ms),
         }
@@ -463,7 +464,7 @@
         FleetOutcome::Accepted
     }
 
-    fn give_back(&mut self, offset: u64, vm: &VmName, boot: u64) -> FleetOutcome {
+    fn return_vm(&mut self, offset: u64, vm: &VmName, boot: u64) -> FleetOutcome {
         let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         let wave = match &state.phase {
             VmPhase::Rebooting { reason: DrainReason::Wave(wave) } if boot != state.boot => {
@@ -477,13 +478,13 @@
             | VmPhase::Spare => return FleetOutcome::Refused,
         };
         if let Some(wave) = wave {
-            state.note_wave(wave);
+            state.record_wave(wave);
         }
         state.serve(offset, boot);
         FleetOutcome::Accepted
     }
 
-    fn lose(&mut self, vm: &VmName) -> FleetOutcome {
+    fn mark_lost(&mut self, vm: &VmName) -> FleetOutcome {
         let Some(state) = self.vms.get_mut(vm) else { return FleetOutcome::Refused };
         let wave = match &state.phase {
             VmPhase::Spare | VmPhase::Lost { .. } => return FleetOutcome::Refused,
@@ -563,7 +564,7 @@
         self.boot = boot;
     }
 
-    fn note_wave(&mut self, wave: WaveName) {
+    fn record_wave(&mut self, wave: WaveName) {
         if self.waves.contains(&wave) {
             return;
         }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -12,11 +12,11 @@
 /// Failures in a row that are enough to judge by.
 const FAILURES_IN_A_ROW: u32 = 3;
 /// How far above the median of its pool a worker's failure rate must be.
-const ABOVE_MEDIAN: f64 = 0.25;
+const MEDIAN_MARGIN: f64 = 0.25;
 /// Part of a pool that may be left out at a time.
-const LEFT_OUT_MAX: f64 = 0.34;
+const EJECTED_SHARE_MAX: f64 = 0.34;
 /// Successes in a row after which a worker on trial is back.
-const TRIAL_SUCCESSES: u32 = 3;
+const PROBATION_SUCCESSES: u32 = 3;
 /// Longest time left out, in units of the first.
 const BACKOFF_MAX: u32 = 16;
 
@@ -26,7 +26,7 @@
     failure_rate: f64,
     failures_in_a_row: u32,
     successes_in_a_row: u32,
-    times_left_out: u32,
+    ejections: u32,
     status: HealthStatus,
 }
 
@@ -57,7 +57,9 @@
             self.successes_in_a_row = 0;
             self.failures_in_a_row += 1;
         }
-        if self.status == HealthStatus::OnProbation && self.successes_in_a_row >= TRIAL_SUCCESSES {
+        if self.status == HealthStatus::OnProbation
+            && self.successes_in_a_row >= PROBATION_SUCCESSES
+        {
             *self = HealthRecord::default();
         }
     }
@@ -81,30 +83,33 @@
 
     /// Whether this worker is to be left out, given the failure rates of its whole pool and how
     /// many of it are left out already.
-    pub fn is_ejection_due(&self, pool_rates: &mut [f64], left_out: usize) -> bool {
-        let trial_failed = self.status == HealthStatus::OnProbation && self.failures_in_a_row > 0;
-        let judged = self.failures_in_a_row >= FAILURES_IN_A_ROW || trial_failed;
-        let room = left_out < most_left_out(pool_rates.len());
-        judged && room && (trial_failed || self.failure_rate > median(pool_rates) + ABOVE_MEDIAN)
+    pub fn is_ejection_due(&self, pool_rates: &mut [f64], ejected: usize) -> bool {
+        let has_failed_probation =
+            self.status == HealthStatus::OnProbation && self.failures_in_a_row > 0;
+        let has_evidence = self.failures_in_a_row >= FAILURES_IN_A_ROW || has_failed_probation;
+        let may_eject_more = ejected < ejected_max(pool_rates.len());
+        has_evidence
+            && may_eject_more
+            && (has_failed_probation || self.failure_rate > median(pool_rates) + MEDIAN_MARGIN)
     }
 
     /// Leaves the worker out; each time for longer.
     pub fn eject(&mut self, now: Duration, first: Duration) {
-        let factor = 1u32.checked_shl(self.times_left_out).unwrap_or(BACKOFF_MAX).min(BACKOFF_MAX);
-        self.times_left_out += 1;
+        let factor = 1u32.checked_shl(self.ejections).unwrap_or(BACKOFF_MAX).min(BACKOFF_MAX);
+        self.ejections += 1;
         self.status = HealthStatus::Ejected { until: now + first * factor };
     }
 }
 
 /// Most workers of a pool that may be left out; one at least where there are two.
-fn most_left_out(workers: usize) -> usize {
-    let (mut most, mut part) = (0, 0.0);
+fn ejected_max(workers: usize) -> usize {
+    let (mut allowed, mut part) = (0, 0.0);
     let size = f64::from(u32::try_from(workers).unwrap_or(u32::MAX));
-    while part + 1.0 <= size * LEFT_OUT_MAX {
+    while part + 1.0 <= size * EJECTED_SHARE_MAX {
         part += 1.0;
-        most += 1;
+        allowed += 1;
     }
-    most.max(usize::from(workers > 1))
+    allowed.max(usize::from(workers > 1))
 }
 
 fn median(rates: &mut [f64]) -> f64 {
--- a/src/decide/key.rs
+++ b/src/decide/key.rs
@@ -145,17 +145,22 @@
             KeyRight::Own { floor_ms } => floor_ms,
         };
         if let Some(record) = self.records.get(&key.id) {
-            return record.step(fingerprint);
+            return record.decision(fingerprint);
         }
         if key.minted_ms < floor_ms {
             return KeyDecision::Answer(ResultCode::KeyOutcomeLost);
         }
-        self.forget(wall_ms);
+        self.remove_expired(wall_ms);
         if self.records.len() >= self.limits.keys_max {
             return KeyDecision::Answer(ResultCode::KeyTableFull);
         }
         let outcome = KeyOutcome::Running;
-        self.put(KeyRecord { id: key.id, minted_ms: key.minted_ms, fingerprint, outcome });
+        self.insert_record(KeyRecord {
+            id: key.id,
+            minted_ms: key.minted_ms,
+            fingerprint,
+            outcome,
+        });
         KeyDecision::Run
     }
 
@@ -186,7 +191,7 @@
         match (known, &record.outcome) {
             (Some(KeyOutcome::Done(_)), _) => {}
             (Some(_), KeyOutcome::Running) => {}
-            _ => self.put(record),
+            _ => self.insert_record(record),
         }
     }
 
@@ -195,13 +200,13 @@
         self.records.values().filter(|record| is_wanted(&record.id)).cloned().collect()
     }
 
-    fn put(&mut self, record: KeyRecord) {
+    fn insert_record(&mut self, record: KeyRecord) {
         self.by_age.insert((record.minted_ms, record.id), ());
         self.records.insert(record.id, record);
     }
 
     /// A key is remembered for one window after the last moment it could be taken.
-    fn forget(&mut self, wall_ms: u64) {
+    fn remove_expired(&mut self, wall_ms: u64) {
         let oldest = wall_ms.saturating_sub(self.limits.window_ms + 2 * self.limits.skew_ms);
         while let Some(entry) = self.by_age.first_entry() {
             let (minted_ms, id) = *entry.key();
@@ -222,7 +227,7 @@
 }
 
 impl KeyRecord {
-    fn step(&self, fingerprint: u64) -> KeyDecision {
+    fn decision(&self, fingerprint: u64) -> KeyDecision {
         if self.fingerprint != fingerprint {
             return KeyDecision::Answer(ResultCode::KeyReused);
         }
--- a/src/decide/leadership.rs
+++ b/src/decide/leadership.rs
@@ -28,12 +28,12 @@
 
 /// Time by which a VM with this processor and link holds its claims back, in milliseconds.
 pub fn claim_delay_ms(processor: u64, link: u64) -> u64 {
-    let weak = u64::from(processor < FIT_PROCESSOR) + u64::from(link < FIT_LINK);
-    weak * UNFIT_DELAY_MS
+    let weaknesses = u64::from(processor < FIT_PROCESSOR) + u64::from(link < FIT_LINK);
+    weaknesses * UNFIT_DELAY_MS
 }
 
 /// What records of earlier versions lack: an empty list of copies, and no time.
-const EARLIER_END: [u8; 3] = [0, 0, 0];
+const MISSING_FIELDS: [u8; 3] = [0, 0, 0];
 
 /// Time between two renewals, in milliseconds.
 pub const RENEWAL_INTERVAL_MS: u64 = 450;
@@ -70,7 +70,7 @@
     /// Reads a record; nothing if it is malformed. Leaders of earlier versions list no copies.
     pub fn decode(value: &[u8]) -> Option<LeadershipRecord> {
         let read = |value: &[u8]| postcard::from_bytes(value).ok();
-        read(value).or_else(|| read(&[value, &EARLIER_END].concat()))
+        read(value).or_else(|| read(&[value, &MISSING_FIELDS].concat()))
     }
 }
 
@@ -125,7 +125,7 @@
     /// When the newest record was read, in milliseconds.
     pub seen_ms: Option<u64>,
     /// Since when reads have been answered without a gap, in milliseconds.
-    contact_ms: Option<u64>,
+    readable_since_ms: Option<u64>,
     /// When the first of our renewals at this end that had no answer was sent, in milliseconds.
     unanswered_ms: Option<u64>,
 }
@@ -188,17 +188,17 @@
     /// The stream was read to its end.
     pub fn record_read(&mut self, end: u64, now: u64) {
         self.end = self.end.max(end);
-        self.contact_ms.get_or_insert(now);
+        self.readable_since_ms.get_or_insert(now);
     }
 
     /// Whether the last read was answered.
     pub fn has_contact(&self) -> bool {
-        self.contact_ms.is_some()
+        self.readable_since_ms.is_some()
     }
 
     /// A read failed: a renewal may have been missed since.
     pub fn record_read_failure(&mut self) {
-        self.contact_ms = None;
+        self.readable_since_ms = None;
     }
 
     /// Time until a claim is allowed, in milliseconds; nothing without contact. Silence counts only
@@ -208,19 +208,19 @@
     /// A claim that comes too early costs a change of leaders and is never unsafe: the term fences
     /// the leader before.
     pub fn claim_in_ms(&self, own: &HolderId, is_closed: bool, now: u64) -> Option<u64> {
-        let contact = self.contact_ms?;
+        let readable_since = self.readable_since_ms?;
         let Some(seen) = self.seen_ms else {
-            return Some((contact + own.delay_ms).saturating_sub(now));
+            return Some((readable_since + own.delay_ms).saturating_sub(now));
         };
         if self.is_earlier_incarnation(own) {
             return Some(0);
         }
-        let quiet_since = seen.max(contact);
+        let silent_since = seen.max(readable_since);
         if self.has_resigned {
-            return Some((quiet_since + own.delay_ms).saturating_sub(now));
+            return Some((silent_since + own.delay_ms).saturating_sub(now));
         }
-        let silence = if is_closed { CLOSED_RENEWAL_TIMEOUT_MS } else { RENEWAL_TIMEOUT_MS };
-        Some((quiet_since + silence + own.delay_ms).saturating_sub(now))
+        let timeout = if is_closed { CLOSED_RENEWAL_TIMEOUT_MS } else { RENEWAL_TIMEOUT_MS };
+        Some((silent_since + timeout + own.delay_ms).saturating_sub(now))
     }
 
     /// Whether the entry at `address` keeps a copy of the job log. Before any record was read to tell who does, the
@@ -230,10 +230,10 @@
         if self.replicas.is_empty() && self.holder.is_some() || self.replicas.contains(address) {
             return true;
         }
-        let quiet_since = self.contact_ms.map(|contact| contact.max(seen));
+        let silent_since = self.readable_since_ms.map(|readable_since| readable_since.max(seen));
         let after =
             RENEWAL_TIMEOUT_MS + unlisted_replica_after_ms(self.replicas.entries, own.incarnation);
-        quiet_since.is_some_and(|quiet| now >= quiet + after)
+        silent_since.is_some_and(|since| now >= since + after)
     }
 
     /// Whether an earlier life of this process leads: it has ended, or this one would not run.
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -7,7 +7,7 @@
 use crate::name::EntryName;
 
 /// Difference between the steady clock and the system's that gives a pause away, in milliseconds.
-const PAUSE_MS: u64 = 1_000;
+const PAUSE_DETECTION_MS: u64 = 1_000;
 
 /// Who has confirmed an entry's place on the roster, and when it was asked.
 #[derive(Clone, Debug, Default)]
@@ -61,5 +61,9 @@
     let steady = now.steady.saturating_sub(asked.steady);
     let system_ms = now.wall_ms.saturating_sub(asked.wall_ms);
     let steady_ms = u64::try_from(steady.as_millis()).unwrap_or(u64::MAX);
-    if system_ms > steady_ms + PAUSE_MS { Duration::from_millis(system_ms) } else { steady }
+    if system_ms > steady_ms + PAUSE_DETECTION_MS {
+        Duration::from_millis(system_ms)
+    } else {
+        steady
+    }
 }
--- a/src/decide/roster.rs
+++ b/src/decide/roster.rs
@@ -105,29 +105,29 @@
 /// The rosters that an entry has adopted and what it knows of earlier owners.
 #[derive(Debug)]
 pub struct KeyOwnership {
-    me: EntryName,
+    own_name: EntryName,
     times: LeaseTimes,
     rosters: VecDeque<AdoptedRoster>,
     /// Entries that were there when we joined: they may have run what is ours since.
     at_join: BTreeMap<EntryName, FormerOwner>,
     /// Entries that have gone since: what was theirs may be ours now.
-    gone: BTreeMap<EntryName, FormerOwner>,
+    departed: BTreeMap<EntryName, FormerOwner>,
     /// Entries that have shown that they know us, so that their lease needs our word.
-    acquainted: BTreeSet<EntryName>,
+    aware_peers: BTreeSet<EntryName>,
     /// Keys minted before it were nobody's that we could ask.
     first_floor_ms: u64,
 }
 
 impl KeyOwnership {
     /// A book without a roster; owns nothing.
-    pub fn new(me: EntryName, times: LeaseTimes) -> Self {
+    pub fn new(own_name: EntryName, times: LeaseTimes) -> Self {
         KeyOwnership {
-            me,
+            own_name,
             times,
             rosters: VecDeque::new(),
             at_join: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            acquainted: BTreeSet::new(),
+            departed: BTreeMap::new(),
+            aware_peers: BTreeSet::new(),
             first_floor_ms: 0,
         }
     }
@@ -140,22 +140,23 @@
     /// Entries of the newest roster other than this one.
     pub fn others(&self) -> impl Iterator<Item = &EntryName> {
         let newest = self.rosters.back().map(|roster| roster.entries.iter());
-        newest.into_iter().flatten().filter(|entry| **entry != self.me)
+        newest.into_iter().flatten().filter(|entry| **entry != self.own_name)
     }
 
     /// Adopts a newer roster. Returns whether it was newer.
     pub fn adopt(&mut self, roster: &RosterView, now: Moment) -> bool {
-        let Some(joined) = roster.entries.get(&self.me) else { return false };
+        let Some(joined) = roster.entries.get(&self.own_name) else { return false };
         if self.epoch().is_some_and(|newest| newest >= roster.epoch) {
             return false;
         }
         let entries: BTreeSet<EntryName> = roster.entries.keys().cloned().collect();
         match self.rosters.back() {
-            None => self.join(roster, *joined, now),
+            None => self.record_join(roster, *joined, now),
             Some(newest) => {
-                let lost: Vec<EntryName> = newest.entries.difference(&entries).cloned().collect();
-                for entry in &lost {
-                    self.part(entry, roster.evicted.get(entry).copied(), now);
+                let removed: Vec<EntryName> =
+                    newest.entries.difference(&entries).cloned().collect();
+                for entry in &removed {
+                    self.record_departure(entry, roster.evicted.get(entry).copied(), now);
                 }
             }
         }
@@ -167,8 +168,8 @@
     }
 
     /// Whoever joined before us may have run what is ours now; whoever joined after us has not.
-    fn join(&mut self, roster: &RosterView, joined: u64, now: Moment) {
-        let is_first = roster.first.as_ref() == Some(&self.me);
+    fn record_join(&mut self, roster: &RosterView, joined: u64, now: Moment) {
+        let is_first = roster.first.as_ref() == Some(&self.own_name);
         self.first_floor_ms = if is_first { 0 } else { now.wall_ms + millis(self.times.skew) };
         for (entry, _) in roster.entries.iter().filter(|(_, other)| **other < joined) {
             self.at_join.insert(entry.clone(), FormerOwner::Awaited);
@@ -178,20 +179,20 @@
         }
     }
 
-    fn part(&mut self, entry: &EntryName, evicted_ms: Option<u64>, now: Moment) {
+    fn record_departure(&mut self, entry: &EntryName, evicted_ms: Option<u64>, now: Moment) {
         // It stopped before its leave; without its last hand-over its outcomes are lost.
         let left = FormerOwner::HandedOver { floor_ms: now.wall_ms + millis(self.times.skew) };
         let end = evicted_ms.map_or(left, |at_ms| self.eviction(entry, at_ms, now));
         if self.at_join.get(entry) == Some(&FormerOwner::Awaited) {
             self.at_join.insert(entry.clone(), end);
         }
-        self.gone.entry(entry.clone()).or_insert(end);
+        self.departed.entry(entry.clone()).or_insert(end);
     }
 
     /// An entry that knows us asks for our word to renew its lease, and no longer gets it: it stops
     /// within one lease. One that may not know us goes on until its autonomy is over.
     fn eviction(&self, entry: &EntryName, evicted_ms: u64, now: Moment) -> FormerOwner {
-        let wait = if self.acquainted.contains(entry) {
+        let wait = if self.aware_peers.contains(entry) {
             self.times.lease + self.times.skew
         } else {
             let over_ms = evicted_ms + millis(self.times.autonomy + self.times.skew);
@@ -203,24 +204,24 @@
 
     /// Notes that an entry has shown that it knows us.
     pub fn mark_aware(&mut self, entry: &EntryName) {
-        self.acquainted.insert(entry.clone());
+        self.aware_peers.insert(entry.clone());
     }
 
     /// Notes a hand-over: `from` runs none of our keys any more, and neither does any of `retired`,
     /// whose lease needed its word. The last one comes before a planned stop.
-    pub fn record_hand_over(&mut self, handed: &HandOverNotice<'_>) {
-        self.mark_aware(handed.from);
-        let state = FormerOwner::HandedOver { floor_ms: handed.floor_ms };
-        if let Some(awaited) = self.at_join.get_mut(handed.from)
+    pub fn record_hand_over(&mut self, notice: &HandOverNotice<'_>) {
+        self.mark_aware(notice.from);
+        let state = FormerOwner::HandedOver { floor_ms: notice.floor_ms };
+        if let Some(awaited) = self.at_join.get_mut(notice.from)
             && *awaited == FormerOwner::Awaited
         {
             *awaited = state;
         }
-        if handed.last {
-            self.gone.insert(handed.from.clone(), state);
+        if notice.last {
+            self.departed.insert(notice.from.clone(), state);
         }
-        for entry in handed.retired {
-            for map in [&mut self.at_join, &mut self.gone] {
+        for entry in notice.retired {
+            for map in [&mut self.at_join, &mut self.departed] {
                 if matches!(map.get(entry), Some(FormerOwner::Evicted { .. })) {
                     map.insert(entry.clone(), state);
                 }
@@ -233,9 +234,9 @@
     pub fn may_hand_over(&self, now: Duration) -> bool {
         let awaited = self.at_join.values().any(|state| *state == FormerOwner::Awaited);
         !awaited
-            && self.gone.iter().all(|(entry, state)| match state {
+            && self.departed.iter().all(|(entry, state)| match state {
                 FormerOwner::Evicted { stopped, .. } => {
-                    !self.acquainted.contains(entry) || *stopped <= now
+                    !self.aware_peers.contains(entry) || *stopped <= now
                 }
                 FormerOwner::Awaited | FormerOwner::HandedOver { .. } => true,
             })
@@ -248,12 +249,12 @@
 
     /// Evicted entries that have stopped, since they asked for our word.
     pub fn retired(&self, now: Duration) -> Vec<EntryName> {
-        let evicted = self.gone.iter().filter(|(entry, state)| {
+        let evicted = self.departed.iter().filter(|(entry, state)| {
             let stopped = match state {
                 FormerOwner::Evicted { stopped, .. } => *stopped <= now,
                 FormerOwner::Awaited | FormerOwner::HandedOver { .. } => false,
             };
-            stopped && self.acquainted.contains(*entry)
+            stopped && self.aware_peers.contains(*entry)
         });
         evicted.map(|(entry, _)| entry.clone()).collect()
     }
@@ -261,19 +262,19 @@
     /// Floor that a hand-over from us carries: unknown keys minted before it may have run.
     /// Evicted entries that may still run are left out: the next owner has them on its own list.
     pub fn floor_ms(&self, now: Duration) -> u64 {
-        let states = self.at_join.values().chain(self.gone.values());
+        let states = self.at_join.values().chain(self.departed.values());
         let ended = states.filter(
             |state| !matches!(state, FormerOwner::Evicted { stopped, .. } if *stopped > now),
         );
         let floors = ended.filter_map(|state| state.floor_ms());
-        let alone = self.joined_alone().then_some(self.first_floor_ms);
+        let alone = self.has_no_hand_over().then_some(self.first_floor_ms);
         floors.chain(alone).max().unwrap_or(0)
     }
 
     /// What we may do with a key now.
     pub fn right(&self, key: &[u8], now: Duration) -> KeyRight {
         let Some(newest) = self.rosters.back() else { return KeyRight::Wait };
-        if owner(key, &newest.entries) != Some(&self.me) {
+        if owner(key, &newest.entries) != Some(&self.own_name) {
             return KeyRight::Other;
         }
         // Whoever was there when we joined may still act on a roster without us. That holds for a
@@ -282,20 +283,20 @@
         // Several changes may be read at once, so a key may have passed through owners that no
         // adopted roster shows; each of them was on one, or waits for our hand-over.
         let owners = self.rosters.iter().filter_map(|roster| owner(key, &roster.entries));
-        if owners.into_iter().any(|entry| *entry != self.me) {
-            former.extend(self.gone.values());
+        if owners.into_iter().any(|entry| *entry != self.own_name) {
+            former.extend(self.departed.values());
         }
-        let floor = if self.joined_alone() { self.first_floor_ms } else { 0 };
-        right_after(&former, floor, now)
+        let floor = if self.has_no_hand_over() { self.first_floor_ms } else { 0 };
+        strictest_right(&former, floor, now)
     }
 
-    fn joined_alone(&self) -> bool {
+    fn has_no_hand_over(&self) -> bool {
         !self.at_join.values().any(|state| matches!(state, FormerOwner::HandedOver { .. }))
     }
 }
 
 /// The strictest of what each former owner leaves.
-fn right_after(former: &[&FormerOwner], floor_ms: u64, now: Duration) -> KeyRight {
+fn strictest_right(former: &[&FormerOwner], floor_ms: u64, now: Duration) -> KeyRight {
     let mut floor = floor_ms;
     for state in former {
         match state {
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -63,11 +63,11 @@
 /// One step of the plan.
 pub fn plan(input: &PlanInput<'_>) -> Vec<StewardAct> {
     let mut planner = WavePlanner::new(input);
-    planner.follow_up();
-    planner.watch();
-    planner.place();
-    planner.shrink();
-    planner.waves();
+    planner.advance_drains();
+    planner.follow_probes();
+    planner.fill_pools();
+    planner.drain_surplus();
+    planner.start_wave_drains();
     planner.acts.truncate(ACTS_MAX);
     planner.acts
 }
@@ -89,22 +89,24 @@
     fleets: &BTreeMap<CentreName, Arc<FleetState>>,
 ) -> HashMap<&'a ProductName, ProductWorkers> {
     let product_of = products_by_pool(document);
-    let mut loads: HashMap<&ProductName, ProductWorkers> = document
+    let mut counts: HashMap<&ProductName, ProductWorkers> = document
         .products
         .iter()
         .map(|product| (&product.name, ProductWorkers::default()))
         .collect();
     for state in fleets.values().flat_map(|fleet| fleet.vms.values()) {
         let product = state.pool.as_ref().and_then(|pool| product_of.get(pool));
-        let Some(load) = product.and_then(|product| loads.get_mut(product)) else { continue };
+        let Some(workers) = product.and_then(|product| counts.get_mut(product)) else {
+            continue;
+        };
         match state.phase {
-            VmPhase::Serving => load.serving += 1,
-            VmPhase::Draining { .. } | VmPhase::Rebooting { .. } => load.planned += 1,
-            VmPhase::Lost { .. } => load.lost += 1,
+            VmPhase::Serving => workers.serving += 1,
+            VmPhase::Draining { .. } | VmPhase::Rebooting { .. } => workers.planned += 1,
+            VmPhase::Lost { .. } => workers.lost += 1,
             VmPhase::Spare => {}
         }
     }
-    loads
+    counts
 }
 
 fn products_by_pool(document: &IntentDocument) -> HashMap<&PoolName, &ProductName> {
@@ -112,11 +114,15 @@
 }
 
 /// Workers that a product lacks now.
-pub fn shortfall(document: &IntentDocument, load: &ProductWorkers, product: &ProductSpec) -> u32 {
+pub fn shortfall(
+    document: &IntentDocument,
+    workers: &ProductWorkers,
+    product: &ProductSpec,
+) -> u32 {
     // Before the first placement is through, the fleet is being set up and not short.
-    let placed = load.serving + load.planned + load.lost;
+    let placed = workers.serving + workers.planned + workers.lost;
     let capacity = product.capacity.min(document.workers_of(&product.name));
-    if placed < capacity { 0 } else { capacity.saturating_sub(load.serving) }
+    if placed < capacity { 0 } else { capacity.saturating_sub(workers.serving) }
 }
 
 /// A rack is named within its data centre.
@@ -145,7 +151,7 @@
     specs: BTreeMap<&'a VmName, &'a VmSpec>,
     limit_ms: u64,
     taken: BTreeSet<VmName>,
-    loads: HashMap<&'a ProductName, ProductWorkers>,
+    workers_by_product: HashMap<&'a ProductName, ProductWorkers>,
     product_of: HashMap<&'a PoolName, &'a ProductName>,
     /// Serving workers of each product by rack, this step's drains taken off.
     racks: HashMap<&'a ProductName, HashMap<RackKey<'a>, u32>>,
@@ -164,7 +170,7 @@
             specs: own.map(|vm| (&vm.name, vm)).collect(),
             limit_ms: input.document.longest_time_limit_ms(),
             taken: BTreeSet::new(),
-            loads: product_workers(input.document, input.fleets),
+            workers_by_product: product_workers(input.document, input.fleets),
             racks: serving_by_rack(input, &product_of),
             product_of,
             acts: Vec::new(),
@@ -175,12 +181,12 @@
         self.input.probes.get(vm)
     }
 
-    fn is_up(&self, vm: &VmName) -> Option<u64> {
+    fn live_boot(&self, vm: &VmName) -> Option<u64> {
         self.probe(vm).filter(|probe| probe.is_answering).map(|probe| probe.boot)
     }
 
     /// Takes drains and reboots that have begun to their end.
-    fn follow_up(&mut self) {
+    fn advance_drains(&mut self) {
         for (vm, state) in &self.fleet.vms {
             match &state.phase {
                 VmPhase::Draining { reason, .. } if state.is_drained(self.input.wall_ms) => {
@@ -204,7 +210,7 @@
     }
 
     fn after_reboot(&mut self, vm: &VmName, state: &VmState, reason: &DrainReason) {
-        let Some(boot) = self.is_up(vm).filter(|boot| *boot != state.boot) else { return };
+        let Some(boot) = self.live_boot(vm).filter(|boot| *boot != state.boot) else { return };
         let act = match reason {
             DrainReason::Wave(_) => StewardAct::Return { vm: vm.clone(), boot },
             DrainReason::Move => StewardAct::Release { vm: vm.clone() },
@@ -213,7 +219,7 @@
     }
 
     /// Notices VMs that were lost, restarted or came back.
-    fn watch(&mut self) {
+    fn follow_probes(&mut self) {
         for (vm, state) in &self.fleet.vms {
             let Some(probe) = self.probe(vm) else { continue };
             let lost = !probe.is_answering && probe.silent_ms >= self.input.times.lost_after_ms;
@@ -251,16 +257,16 @@
 
     fn has_spare(&self, pool: Option<&PoolName>) -> bool {
         let Some(pool) = pool.and_then(|pool| self.input.document.pool(pool)) else { return true };
-        self.specs.values().any(|spec| self.can_assign(spec, pool).is_some())
+        self.specs.values().any(|spec| self.assignable_boot(spec, pool).is_some())
     }
 
     /// Boot number with which a spare VM can join the pool.
-    fn can_assign(&self, spec: &VmSpec, pool: &PoolSpec) -> Option<u64> {
+    fn assignable_boot(&self, spec: &VmSpec, pool: &PoolSpec) -> Option<u64> {
         let state = self.fleet.vm(&spec.name);
         let fits = state.phase == VmPhase::Spare
             && spec.accelerators >= pool.accelerators
             && !self.taken.contains(&spec.name);
-        self.is_up(&spec.name).filter(|boot| fits && state.fenced_boot != Some(*boot))
+        self.live_boot(&spec.name).filter(|boot| fits && state.fenced_boot != Some(*boot))
     }
 
     fn members(&self, pool: &PoolName) -> Vec<(&'a VmName, &'a VmState)> {
@@ -269,7 +275,7 @@
     }
 
     /// Fills pools with spare VMs, each where its product has the fewest in one rack.
-    fn place(&mut self) {
+    fn fill_pools(&mut self) {
         let mut pools: Vec<&PoolSpec> = self.input.document.pools.iter().collect();
         pools.sort_by_key(|pool| std::cmp::Reverse(pool.accelerators));
         for pool in pools {
@@ -297,13 +303,13 @@
         pool: &PoolSpec,
         racks: &BTreeMap<&RackName, u32>,
     ) -> Option<(&'a VmSpec, u64)> {
-        let open =
-            self.specs.values().filter_map(|spec| Some((*spec, self.can_assign(spec, pool)?)));
+        let assignable =
+            self.specs.values().filter_map(|spec| Some((*spec, self.assignable_boot(spec, pool)?)));
         let mut left: BTreeMap<&RackName, u32> = BTreeMap::new();
-        for (spec, _) in open.clone() {
+        for (spec, _) in assignable.clone() {
             *left.entry(&spec.rack).or_default() += 1;
         }
-        open.min_by_key(|(spec, _)| {
+        assignable.min_by_key(|(spec, _)| {
             let same = racks.get(&spec.rack).copied().unwrap_or(0);
             let spares = std::cmp::Reverse(left.get(&spec.rack).copied().unwrap_or(0));
             (same, spec.accelerators, spares, &spec.name)
@@ -311,7 +317,7 @@
     }
 
     /// Drains VMs that their pool no longer asks for, and those the document no longer has.
-    fn shrink(&mut self) {
+    fn drain_surplus(&mut self) {
         let mut surplus: Vec<&VmName> = Vec::new();
         for pool in &self.input.document.pools {
             let members = self.members(&pool.name);
@@ -343,16 +349,16 @@
             return;
         }
         if let Some(product) = self.product_of(vm)
-            && let Some(load) = self.loads.get_mut(&product.name)
+            && let Some(workers) = self.workers_by_product.get_mut(&product.name)
         {
-            load.serving -= 1;
-            load.planned += 1;
-            self.leave_rack(&product.name, vm);
+            workers.serving -= 1;
+            workers.planned += 1;
+            self.remove_from_rack(&product.name, vm);
         }
         self.acts.push(StewardAct::Drain { vm: vm.clone(), reason, limit_ms: self.limit_ms });
     }
 
-    fn leave_rack(&mut self, product: &ProductName, vm: &VmName) {
+    fn remove_from_rack(&mut self, product: &ProductName, vm: &VmName) {
         let Some(rack) = self.specs.get(vm).map(|spec| &spec.rack) else { return };
         let serving =
             self.racks.get_mut(product).and_then(|r| r.get_mut(&(self.input.centre, rack)));
@@ -370,18 +376,18 @@
     /// Whether a VM may be drained now.
     fn may_drain(&self, vm: &VmName) -> bool {
         let Some(product) = self.product_of(vm) else { return true };
-        let load = self.loads.get(&product.name).copied().unwrap_or_default();
-        if load.serving <= product.capacity || load.planned >= self.parallel(product) {
+        let workers = self.workers_by_product.get(&product.name).copied().unwrap_or_default();
+        if workers.serving <= product.capacity || workers.planned >= self.parallel_max(product) {
             return false;
         }
-        let after = load.serving - 1;
+        let after = workers.serving - 1;
         let worst = self.worst_rack(&product.name, vm);
         let short = u64::from(product.capacity.saturating_sub(after.saturating_sub(worst)));
-        short * self.input.times.drain_ms <= self.budget_left_ms(product)
+        short * self.input.times.drain_ms <= self.remaining_budget_ms(product)
     }
 
     /// Most VMs of a product out at a time: one, or as many as it has spare, by its weight.
-    fn parallel(&self, product: &ProductSpec) -> u32 {
+    fn parallel_max(&self, product: &ProductSpec) -> u32 {
         let spare = self.input.document.workers_of(&product.name).saturating_sub(product.capacity);
         let more = u64::from(spare.saturating_sub(1)) * u64::from(product.rollout_weight);
         1 + u32::try_from(more.div_ceil(100)).unwrap_or(u32::MAX)
@@ -398,7 +404,7 @@
         without.max().unwrap_or(0)
     }
 
-    fn budget_left_ms(&self, product: &ProductSpec) -> u64 {
+    fn remaining_budget_ms(&self, product: &ProductSpec) -> u64 {
         let day = self.input.wall_ms / DAY_MS;
         let fleets = self.input.fleets.values();
         let spent: u64 = fleets.map(|fleet| fleet.spent_worker_ms(&product.name, day)).sum();
@@ -406,15 +412,15 @@
     }
 
     /// Starts drains of the waves, rack by rack, as far as capacities and budgets allow.
-    fn waves(&mut self) {
+    fn start_wave_drains(&mut self) {
         for wave in self.input.document.waves.iter().filter(|wave| !wave.cancelled) {
             let mut candidates = self.candidates(wave);
-            candidates.sort_by_key(|vm| self.rack_rank(vm));
-            let open = self.open_by_centre(wave);
+            candidates.sort_by_key(|vm| self.rack_order(vm));
+            let pending = self.pending_by_centre(wave);
             for vm in candidates {
                 let Some(product) = self.product_of(vm) else { continue };
-                let allowed = self.allowance(wave, &product.name, &open);
-                if self.out_here(&product.name) < allowed && self.may_drain(vm) {
+                let allowed = self.allowance(wave, &product.name, &pending);
+                if self.unavailable_here(&product.name) < allowed && self.may_drain(vm) {
                     self.drain(vm, DrainReason::Wave(wave.name.clone()));
                 }
             }
@@ -424,39 +430,42 @@
     /// Serving VMs of this data centre that the wave has yet to reach, as many of each product as may
     /// be out here.
     fn candidates(&self, wave: &WaveSpec) -> Vec<&'a VmName> {
-        let open = self.open_by_centre(wave);
+        let pending = self.pending_by_centre(wave);
         let mut found = Vec::new();
         for pool in wave.pools.iter().filter_map(|pool| self.input.document.pool(pool)) {
-            if self.allowance(wave, &pool.product, &open) == 0 {
+            if self.allowance(wave, &pool.product, &pending) == 0 {
                 continue;
             }
             let members = self.members(&pool.name).into_iter();
-            let open = members.filter(|(vm, state)| {
+            let pending = members.filter(|(vm, state)| {
                 state.phase == VmPhase::Serving
-                    && is_open(&wave.name, state)
+                    && is_pending(&wave.name, state)
                     && !self.taken.contains(*vm)
             });
-            found.extend(open.map(|(vm, _)| vm));
+            found.extend(pending.map(|(vm, _)| vm));
         }
         found
     }
 
     /// VMs that the wave has yet to finish, by product and data centre.
-    fn open_by_centre(&self, wave: &WaveSpec) -> HashMap<(&'a ProductName, &'a CentreName), u32> {
-        let mut open = HashMap::new();
+    fn pending_by_centre(
+        &self,
+        wave: &WaveSpec,
+    ) -> HashMap<(&'a ProductName, &'a CentreName), u32> {
+        let mut pending = HashMap::new();
         for (centre, fleet) in self.input.fleets {
             let left = fleet.vms.values().filter(|state| {
-                is_open(&wave.name, state) && !matches!(state.phase, VmPhase::Lost { .. })
+                is_pending(&wave.name, state) && !matches!(state.phase, VmPhase::Lost { .. })
             });
             for state in left {
                 if state.pool.as_ref().is_some_and(|pool| wave.pools.contains(pool))
                     && let Some(product) = self.product_of_state(state)
                 {
-                    *open.entry((product, centre)).or_default() += 1;
+                    *pending.entry((product, centre)).or_default() += 1;
                 }
             }
         }
-        open
+        pending
     }
 
     /// VMs of a product that this data centre may have out at a time: what is left of the product's
@@ -466,17 +475,17 @@
         &self,
         wave: &WaveSpec,
         product: &ProductName,
-        open: &HashMap<(&ProductName, &CentreName), u32>,
+        pending: &HashMap<(&ProductName, &CentreName), u32>,
     ) -> u32 {
         let centres = self.input.document.data_centres.iter().map(|centre| &centre.name);
         let earlier = centres.take_while(|centre| *centre != self.input.centre);
         let ahead: u32 = earlier
             .filter(|centre| wave.covers(centre))
-            .filter_map(|centre| open.get(&(product, centre)))
+            .filter_map(|centre| pending.get(&(product, centre)))
             .sum();
         let spec = self.input.document.products.iter().find(|spec| spec.name == *product);
         let covered = wave.covers(self.input.centre);
-        spec.filter(|_| covered).map_or(0, |spec| self.parallel(spec).saturating_sub(ahead))
+        spec.filter(|_| covered).map_or(0, |spec| self.parallel_max(spec).saturating_sub(ahead))
     }
 
     fn product_of_state(&self, state: &VmState) -> Option<&'a ProductName> {
@@ -484,7 +493,7 @@
     }
 
     /// VMs of a product that are out in this data centre, this step's drains included.
-    fn out_here(&self, product: &ProductName) -> u32 {
+    fn unavailable_here(&self, product: &ProductName) -> u32 {
         let out = self.fleet.vms.iter().filter(|(vm, state)| {
             let planned =
                 matches!(state.phase, VmPhase::Draining { .. } | VmPhase::Rebooting { .. });
@@ -494,7 +503,7 @@
     }
 
     /// Racks that have VMs out already come first, so that a wave finishes one before the next.
-    fn rack_rank(&self, vm: &VmName) -> (bool, Option<&'a RackName>, VmName) {
+    fn rack_order(&self, vm: &VmName) -> (bool, Option<&'a RackName>, VmName) {
         let rack = self.specs.get(vm).map(|spec| &spec.rack);
         let begun = self.fleet.vms.iter().any(|(other, state)| {
             matches!(state.phase, VmPhase::Draining { .. } | VmPhase::Rebooting { .. })
@@ -504,7 +513,7 @@
     }
 }
 
-fn is_open(wave: &WaveName, state: &VmState) -> bool {
+fn is_pending(wave: &WaveName, state: &VmState) -> bool {
     !state.waves.contains(wave)
 }
 
