--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,7 @@
-//! Every decision of the system, as plain values in and decisions out.
+//! Decision logic of the system: plain values in, decisions out.
 //!
-//! Nothing below this module does I/O, waits, locks or reads a clock: the time is an argument.
-//! That is what lets the tests drive it through any order of failures.
+//! Nothing in this module does I/O, waits, locks or reads a clock; the time is an argument. Tests
+//! can therefore drive it through any order of failures.
 
 pub mod access;
 pub mod append_limit;
--- a/src/decide/access.rs
+++ b/src/decide/access.rs
@@ -1,16 +1,18 @@
-//! Whose key a caller shows, and until when an entry may honour it.
+//! API keys: which organisation a key belongs to, and for how long an entry may honour it.
 //!
-//! The load that this answers: operators take keys away from callers that go on sending, and entries may be
-//! cut off, frozen, turned away by the log or just restarted. An entry that went by the newest configuration
-//! that it happens to have read would serve a revoked key for as long as its way to the log is gone.
+//! Operators revoke keys of callers that go on sending, while entries may be partitioned, paused,
+//! refused by the log or just restarted. An entry that trusted the newest configuration it has read
+//! would accept a revoked key for as long as it can't reach the log.
 //!
-//! So a key counts only while a reading that began a short time ago has come to the end of what operators
-//! wrote. The time runs from the start of the reading: what was acknowledged after that may be missing in
-//! it, however late its answer arrives. A caller that sends its request later than the bound after the
-//! revocation was acknowledged therefore meets either a reading that has the revocation, or one that is too
-//! old to honour any key. No message between entries and no clock but the entry's own steady one is needed.
+//! A key is therefore honoured only while a recently started read has reached the end of the
+//! operators' records. Its age counts from the start of the read, because the answer may lack
+//! anything acknowledged later than that, however late it arrives. A request that is sent later
+//! than the bound after the acknowledgement of a revocation meets either a read that contains the
+//! revocation or one that is too old to honour any key. This needs no messages between entries and
+//! no clock but the entry's own steady one.
 //!
-//! Keys are kept as digests: what is logged, handed to other entries or dumped tells none.
+//! Keys are stored as digests, so that neither logs nor messages between entries nor dumps reveal
+//! them.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -21,52 +23,53 @@
 
 use crate::jobs::model::ResourceVector;
 
-/// Part of the bound up to which a reading counts, in percent: steady clocks may run apart by a few.
+/// Percentage of the bound for which a read counts; steady clocks may differ in speed by a few
+/// percent.
 const HONOUR_PERCENT: u64 = 95;
 
-/// A key as it is kept: its SHA-256 digest.
+/// An API key as it is stored: its SHA-256 digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digest of a key.
+    /// Digest of a key in plain text.
     pub fn of(key: &str) -> KeyDigest {
         KeyDigest(Sha256::digest(key.as_bytes()).into())
     }
 }
 
-/// Tells nothing: digests of guessable keys would give them away.
+/// Prints no digest: one of a guessable key would reveal the key.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest")
     }
 }
 
-/// What a request shows of a key.
+/// The API key that a request carries, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// Nothing.
+    /// No key.
     Missing,
-    /// Something that is no single key.
+    /// Something that is not exactly one key.
     Malformed,
-    /// A key.
+    /// Digest of the key.
     Given(KeyDigest),
 }
 
 /// One organisation, as operators configure it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationSpec {
-    /// Its name.
+    /// Name that operators gave it.
     pub name: Arc<str>,
-    /// Its keys.
+    /// Digests of its API keys.
     pub keys: Vec<KeyDigest>,
-    /// Its share when all is full, in jobs a second.
+    /// Its share when the workers are full, in jobs per second.
     pub weight: f64,
-    /// Most that it may have running over all workers; 0 of a resource for no limit.
+    /// Resources that its running tasks may use over all workers; 0 means no limit for a resource.
     pub cap: ResourceVector,
 }
 
-/// The organisations of a configuration, by key.
+/// The organisations of a configuration, indexed by API key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<OrganisationSpec>", into = "Vec<OrganisationSpec>")]
 pub struct AccessTable {
@@ -93,29 +96,29 @@
 }
 
 impl AccessTable {
-    /// Whose key this is.
+    /// Organisation that a key belongs to.
     pub fn owner(&self, key: &KeyDigest) -> Option<&OrganisationSpec> {
         self.organisations.get(*self.by_key.get(key)?)
     }
 
-    /// Every organisation.
+    /// All organisations, in the order of the configuration.
     pub fn iter(&self) -> impl Iterator<Item = &OrganisationSpec> {
         self.organisations.iter()
     }
 }
 
-/// How soon a revoked key must be refused everywhere.
+/// How soon a revoked key must be refused by all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevocationRule {
-    /// Whether that holds for entries that can't reach the log, too.
+    /// Whether the bound also holds for entries that can't reach the log.
     pub is_strict: bool,
     /// Time after the acknowledgement of the revocation, in milliseconds.
     pub bound_ms: u64,
 }
 
 impl RevocationRule {
-    /// Whether keys may be honoured by a configuration that was the newest when a reading began at
-    /// `confirmed_ms`; nothing for one that no reading has shown to be.
+    /// Whether keys may be honoured, given the start of the newest read that has confirmed the
+    /// configuration as the newest one; `None` if no read has.
     pub fn may_honour(&self, confirmed_ms: Option<u64>, now: u64) -> bool {
         if !self.is_strict {
             return true;
@@ -124,55 +127,58 @@
     }
 }
 
-/// Why a caller is not let in.
+/// Why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessRefusal {
-    /// It shows no key that can be read.
+    /// It presents no readable key.
     NoKey,
     /// No organisation has its key.
     UnknownKey,
-    /// Whether its key still counts can't be told now.
+    /// Whether its key is still valid can't be determined at the moment.
     Unconfirmed,
 }
 
-/// Who calls, as far as it matters for what it may see and use.
+/// Identity of a caller, as far as it decides what the caller may see and use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerAccess {
-    /// Its organisation; none on a queue that is open to all.
+    /// Its organisation; `None` for a queue that is open to everybody.
     pub organisation: Option<Arc<str>>,
 }
 
 impl CallerAccess {
-    /// Whether it may see and cancel a job of this organisation. Others are told that there is no such job.
+    /// Whether it may see and cancel a job of this organisation. Others get the answer for an
+    /// unknown job.
     pub fn may_see(&self, organisation: Option<&Arc<str>>) -> bool {
         organisation.is_none_or(|owner| self.organisation.as_ref() == Some(owner))
     }
 }
 
-/// Names a caller's organisation in a key of the log: the start of the SHA-256 digest of its name, or 0 for none.
+/// Identifies a caller's organisation in keys of the log: the first 8 bytes of the SHA-256 digest
+/// of its name, or 0 for none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrganisationDigest(u64);
 
 impl OrganisationDigest {
-    /// The lowest.
+    /// Smallest value, for ranges.
     pub const FIRST: OrganisationDigest = OrganisationDigest(u64::MIN);
-    /// The highest.
+    /// Largest value, for ranges.
     pub const LAST: OrganisationDigest = OrganisationDigest(u64::MAX);
 
-    /// Mark of an organisation, or of callers without one.
+    /// Digest for an organisation, or for callers without one.
     pub fn of(organisation: Option<&Arc<str>>) -> OrganisationDigest {
         let digest = organisation.map(|name| Sha256::digest(name.as_bytes()));
         let start = digest.and_then(|digest| digest.first_chunk().copied());
         OrganisationDigest(start.map_or(0, u64::from_be_bytes))
     }
 
-    /// Reads 16 hexadecimal digits.
+    /// Parses 16 hexadecimal digits, as `Display` writes them.
     pub fn parse(text: &str) -> Option<OrganisationDigest> {
         let digest = u64::from_str_radix(text, 16).ok().map(OrganisationDigest)?;
         (digest.to_string() == text).then_some(digest)
     }
 
-    /// Whether such a caller may see and cancel a job of this organisation, as [`CallerAccess::may_see`] says.
+    /// Whether a caller of this organisation may see and cancel a job of `organisation`, by the
+    /// rule of [`CallerAccess::may_see`].
     pub fn may_see(self, organisation: Option<&Arc<str>>) -> bool {
         organisation.is_none() || self == OrganisationDigest::of(organisation)
     }
@@ -184,12 +190,12 @@
     }
 }
 
-/// Lets a caller in, or says why not; `table` is nothing before a reading shows a configuration whose keys may
-/// be honoured.
+/// Authenticates a caller. `table` is `None` until a read has confirmed a configuration whose keys
+/// may be honoured.
 ///
 /// # Errors
-/// As [`AccessRefusal`] says. A key that is unknown to a configuration that may be out of date is not called
-/// unknown: it may have been given out since.
+/// As listed in [`AccessRefusal`]. While the configuration may be out of date, a key missing from
+/// it is not reported as unknown: it may have been issued since.
 pub fn admit(
     table: Option<&AccessTable>,
     key: PresentedKey,
--- a/src/decide/append_limit.rs
+++ b/src/decide/append_limit.rs
@@ -1,57 +1,62 @@
-//! How much one append takes in: what the link has carried lately in a fifth of a second.
+//! Adaptive limit for the size of one append to the log: what the link has recently carried in 200
+//! ms.
 //!
-//! What waits for the log while an append goes out waits for all of it, so a large one on a narrow link
-//! holds up every start. A smaller one costs a call more.
+//! Everything that waits for the log waits for the append in progress, so a large append on a
+//! narrow link delays every start. A smaller one costs one more call.
 
 use std::time::Duration;
 
-/// Time in which an append is to go out.
+/// Target time for sending one append.
 const TARGET_SEND_TIME: Duration = Duration::from_millis(200);
-/// Least that an append takes in, in bytes.
+/// Lower bound of the limit, in bytes.
 pub const APPEND_BYTES_MIN: usize = 16 << 10;
-/// What it takes in before anything is known of the link.
+/// Limit before anything is known about the link, in bytes.
 const APPEND_BYTES_INITIAL: usize = 64 << 10;
-/// Most that it takes in: with the last record it stays under the 2 MB that the platform takes.
+/// Upper bound of the limit, in bytes: with the last record an append stays below the 2 MB that the
+/// platform accepts.
 pub const APPEND_BYTES_MAX: usize = 512 << 10;
-/// Times that the time for a body is doubled at most once the room can't shrink any more.
+/// How often the timeout of a body is doubled at most once the limit can't shrink any further.
 const DOUBLINGS_MAX: u32 = 3;
-/// Longest time for a body: a log that was away would be called so much later.
+/// Longest timeout of a body: after an outage, the log would be called again only when it has
+/// passed.
 const SEND_TIMEOUT_MAX: Duration = Duration::from_secs(4);
-/// Size up to which the answer to an append tells of the log alone, in bytes.
+/// Size up to which the response time of an append depends on the log alone, in bytes.
 const SMALL_APPEND_BYTES: usize = 4 << 10;
-/// Part of the smoothed time of the log that one answer counts.
+/// Divisor for the weight of one response in the smoothed response time of the log.
 const LOG_SMOOTHING: u32 = 4;
 
-/// Bytes that the buffers of the way may take at once.
+/// Bytes that the buffers along the connection may hold at once.
 const SOCKET_BUFFER_BYTES: usize = 64 << 10;
 
-/// Time that a way is given for a body beyond that for an answer.
+/// Timeouts for sending a body, on top of the timeout for its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendTimeout {
-    /// Once the system has taken all of it: what stands in buffers counts as taken.
+    /// Time after the operating system has accepted the whole body; bytes in its buffers count as
+    /// accepted.
     pub after_send: Duration,
-    /// Before, between two parts: buffers take parts as large as they are.
+    /// Time without progress while the body is being sent; the buffers accept it in parts of up to
+    /// their own size.
     pub stall: Duration,
 }
 
-/// How a body went out.
+/// How a body was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentBody {
-    /// Its size, in bytes; 0 if there was no connection.
+    /// Its size in bytes; 0 if there was no connection.
     pub bytes: usize,
-    /// Time in which the system took it.
+    /// Time until the operating system had accepted it.
     pub took: Duration,
-    /// Time until the answer was there, if it came.
+    /// Time until the answer arrived, if it did.
     pub answered: Option<Duration>,
 }
 
-/// Bytes for the next append.
+/// Size limit for the next append, adapted to the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendLimit {
     bytes: usize,
-    /// Appends that were lost since `bytes` is at its least, and no answer came.
+    /// Appends without an answer since `bytes` reached its lower bound.
     losses: u32,
-    /// Smoothed time of the log for a small append.
+    /// Smoothed response time of the log for small appends.
     log_latency: Option<Duration>,
 }
 
@@ -62,12 +67,12 @@
 }
 
 impl AppendLimit {
-    /// Bytes from which an append takes no more.
+    /// Limit in bytes: no further record is added to an append that has reached it.
     pub fn bytes(self) -> usize {
         self.bytes
     }
 
-    /// Time that the way needs for a body of this size, by what it has carried.
+    /// Timeouts for sending a body of this size, estimated from earlier appends.
     pub fn send_timeout(self, bytes: usize) -> SendTimeout {
         SendTimeout {
             after_send: self.time_for(bytes),
@@ -84,7 +89,7 @@
         Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX)).min(SEND_TIMEOUT_MAX)
     }
 
-    /// Takes in how an append went out.
+    /// Adapts the limit to how an append was sent.
     pub fn learn(&mut self, sent: SentBody) {
         let is_large = sent.bytes >= self.bytes / 2;
         let Some(answered) = sent.answered else {
@@ -101,7 +106,8 @@
             self.log_latency = Some((before * (LOG_SMOOTHING - 1) + answered) / LOG_SMOOTHING);
             return;
         }
-        // What stands in the buffers of the way counts as sent: only the answer tells that it has passed.
+        // Bytes in the buffers along the connection count as sent; only the answer shows that they
+        // have passed the link.
         let took = sent.took.max(answered.saturating_sub(self.log_latency.unwrap_or_default()));
         if took > TARGET_SEND_TIME && sent.bytes >= APPEND_BYTES_MIN {
             let carried = u128::try_from(sent.bytes).unwrap_or(u128::MAX);
--- a/src/decide/executor.rs
+++ b/src/decide/executor.rs
@@ -1,13 +1,14 @@
-//! Which entry carries out a start for the leader.
+//! Chooses the entry that carries out a start for the leader.
 //!
-//! The load that this answers: a start carries its job's text, a kilobyte and more, and a burst asks for
-//! hundreds a second. That is more than a narrow link of the leader's carries; the other entries have
-//! links of their own, and the text from their copy of the log. The leader sends them who is to start
-//! what, some eighty bytes a start, in batches.
+//! A start carries its job's payload, a kilobyte or more, and a burst asks for hundreds of starts
+//! per second, which is more than a narrow link of the leader carries. The other entries have links
+//! of their own and read the payload from their replica of the job log. The leader sends them only
+//! who is to start what, about eighty bytes per start, in batches.
 //!
-//! Entries offer themselves again and again; one that has gone quiet, or has let a batch go unanswered,
-//! is passed over. The entry with the least under way for its processor comes first: a slow one keeps its
-//! starts under way for longer, and so gets fewer.
+//! Entries renew their offers regularly. An entry without a recent offer, or one that has left a
+//! batch unanswered, is not chosen. The entry with the fewest starts in flight relative to its
+//! processor comes first; a slow entry keeps its starts in flight for longer and therefore gets
+//! fewer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,41 +16,42 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Starts in one batch: its answer waits for the slowest.
+/// Starts in one batch; its answer waits for the slowest of them.
 pub const BATCH_MAX: usize = 16;
-/// Age from which an offer counts no more, in milliseconds: two offers may be lost.
+/// Age at which an offer expires, in milliseconds: two offers may be lost.
 const OFFER_AGE_MAX_MS: u64 = 4_000;
-/// Starts that one entry may have under way: at 2 Mbit/s it sends out that many in a quarter of a second.
+/// Starts that one entry may have in flight: at 2 Mbit/s it sends that many in a quarter of a
+/// second.
 const IN_FLIGHT_MAX: usize = 48;
-/// Time for which an entry is passed over after a batch without an answer, in milliseconds.
+/// Time for which an entry is excluded after an unanswered batch, in milliseconds.
 const EXCLUSION_MS: u64 = 1_500;
 
-/// An entry that can carry out starts.
+/// Offer of an entry to carry out starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorOffer {
-    /// Where it is reached.
+    /// Address of the entry.
     pub address: SocketAddr,
-    /// Drawn at the start of its process.
+    /// Drawn when its process started.
     pub incarnation: u64,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub centre: Arc<str>,
-    /// Its processor, in thousandths of a core.
+    /// Processor, in thousandths of a core.
     pub processor: u64,
-    /// Its steady clock when the offer was sent, in milliseconds.
+    /// The entry's steady clock when it sent the offer, in milliseconds.
     pub clock_ms: u64,
-    /// Time by which it holds its claims back, in milliseconds: the less, the fitter it is to lead.
+    /// Delay of its claims to the leadership, in milliseconds; lower values suit a leader better.
     pub claim_delay_ms: u64,
-    /// Whether it has a copy of the job log: an entry without one knows no job's text.
+    /// Whether it has a replica of the job log; without one it knows no job's payload.
     pub has_replica: bool,
 }
 
-/// By what an executor tells that a batch was sent to this life of it, and when.
+/// Tells an executor which of its incarnations a batch was sent to, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorStamp {
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
-    /// When the batch was sent by the executor's own steady clock, in milliseconds; rather too early than
-    /// too late, by the time that the offer was on its way.
+    /// When the batch was sent, by the executor's own steady clock, in milliseconds; too early
+    /// rather than too late, by the time that the offer was in transit.
     pub sent_ms: u64,
 }
 
@@ -68,7 +70,7 @@
 }
 
 impl ExecutorTable {
-    /// Takes an offer.
+    /// Records an offer.
     pub fn record_offer(&mut self, offer: ExecutorOffer, now: u64) {
         let address = offer.address;
         self.known
@@ -79,7 +81,7 @@
             in_flight: 0,
             excluded_until_ms: 0,
         });
-        // Another life was not there when the one before it failed.
+        // A failure of an earlier incarnation says nothing about this one.
         if known.offer.incarnation != offer.incarnation {
             known.excluded_until_ms = 0;
         }
@@ -87,18 +89,18 @@
         known.offered_ms = now;
     }
 
-    /// Whether some entry can take a start.
+    /// Whether any entry can take a start now.
     pub fn has_capacity(&self, now: u64) -> bool {
         self.known.values().any(|known| known.has_capacity(now))
     }
 
-    /// Whether there are entries that take starts, if not at this moment.
+    /// Whether any entry has a current offer, even if none can take a start now.
     pub fn has_live_offers(&self, now: u64) -> bool {
         self.known.values().any(|known| now < known.offered_ms + OFFER_AGE_MAX_MS)
     }
 
-    /// The entry for starts on workers of a data centre: one that will soon be through, and beside them if it
-    /// makes no difference.
+    /// Chooses the entry for starts on workers in data centre `centre`: the one that will finish
+    /// first, and among equals one in the same data centre.
     pub fn pick(&self, centre: &str, now: u64) -> Option<SocketAddr> {
         self.known
             .iter()
@@ -107,7 +109,8 @@
             .map(|(address, _)| *address)
     }
 
-    /// A batch of `count` starts goes to an entry; by what it tells when that was.
+    /// Records that a batch of `count` starts goes to an entry, and returns the stamp that tells
+    /// the entry when it was sent.
     pub fn begin_batch(
         &mut self,
         address: SocketAddr,
@@ -123,7 +126,7 @@
         })
     }
 
-    /// A batch was answered, or not.
+    /// Records that a batch has ended, with an answer or without.
     pub fn end_batch(&mut self, address: SocketAddr, count: usize, is_answered: bool, now: u64) {
         let Some(known) = self.known.get_mut(&address) else { return };
         known.in_flight = known.in_flight.saturating_sub(count);
@@ -132,11 +135,11 @@
         }
     }
 
-    /// Addresses of some entries that were heard lately, of as many data centres as there are.
+    /// Addresses of up to `count` available entries, from as many data centres as possible.
     pub fn sample(&self, count: usize, now: u64) -> Vec<SocketAddr> {
         let mut available: Vec<&KnownExecutor> =
             self.known.values().filter(|known| known.is_available(now)).collect();
-        // By the position in its data centre: the first of each, then the second.
+        // By position within the data centre: the first entry of each, then the second.
         let mut seen: BTreeMap<&str, usize> = BTreeMap::new();
         available.sort_by_cached_key(|known| {
             let position = seen.entry(&known.offer.centre).or_default();
@@ -146,7 +149,7 @@
         available.iter().take(count).map(|known| known.offer.address).collect()
     }
 
-    /// Entries that take starts now, and starts that are under way through any.
+    /// Number of available entries, and of starts in flight at any entry.
     pub fn counts(&self, now: u64) -> (usize, usize) {
         let available = self.known.values().filter(|known| known.is_available(now)).count();
         (available, self.known.values().map(|known| known.in_flight).sum())
@@ -154,8 +157,9 @@
 }
 
 impl KnownExecutor {
-    /// Batches under way and the next one, against its processor: a start takes a millisecond or two of a core,
-    /// which on an eighth of one is a tenth of a second for a batch.
+    /// Batches in flight including the next one, relative to the processor: a start takes a
+    /// millisecond or two of a core, which for a batch on an eighth of a core is a tenth of a
+    /// second.
     fn load(&self) -> u64 {
         let batches = u64::try_from(self.in_flight / BATCH_MAX + 1).unwrap_or(u64::MAX);
         batches * 1_000 / self.offer.processor.max(1)
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,19 +1,21 @@
-//! Folds a data centre's `fleet` stream: its steward, its entries and the state of each VM.
+//! Replays a data centre's `fleet` stream into its state: the steward, the entries and the phase of
+//! each VM.
 //!
-//! One entry, the steward, plans for the data centre's own VMs. It claims a term; the first claim of
-//! a term in log order wins, and records of an older term change nothing, so a steward that was
-//! paused and wakes late is harmless. A VM changes pools only through `Drain`, the confirmation of
-//! every entry that could still route to it, and `Release`; the fold itself refuses an `Assign` that
-//! comes early, whoever wrote it.
+//! One entry, the steward, plans for the data centre's own VMs. It claims a term, and the first
+//! claim of a term in log order wins. Records of an older term change nothing, so a steward that
+//! was paused and resumes late does no harm. A VM changes pools only by `Drain`, the confirmation
+//! of every entry that could still route to it, and `Release`. An `Assign` that comes early is
+//! refused when it is applied, whoever wrote it.
 //!
-//! Where an entry can't confirm (frozen, cut off, gone), the steward evicts it. It may go on routing
-//! by what it last knew, so every VM that it could route to is fenced: its present boot number may
-//! not serve another pool, and a VM that was draining waits out the longest time limit before its
-//! reboot. Entries use a connection only if the worker at its end shows the boot number that the
-//! fold gave them, so a send that wakes late finds nobody.
+//! If an entry can't confirm (paused, partitioned or gone), the steward evicts it. The evicted
+//! entry may go on routing by the state that it last read, so every VM that it could route to is
+//! fenced: the current boot of the VM may not serve another pool, and a VM that was draining waits
+//! for the longest time limit before its reboot. Entries use a connection only if the worker at its
+//! end reports the boot number in the fleet state, so a request that a resumed entry sends late
+//! reaches no worker of another boot.
 //!
-//! Each entry of the roster holds a lane: a fixed share of every worker's connections. The lane of an
-//! evicted entry is given out again only after the entry must have stopped by itself.
+//! Each entry of the roster holds a lane: a fixed share of every worker's connections. The lane of
+//! an evicted entry is reassigned only after that entry must have stopped by itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,36 +26,37 @@
 use crate::document::BUDGET_DAYS;
 use crate::name::{EntryName, PoolName, ProductName, VmName, WaveName};
 
-/// Waves that a VM is remembered to have gone through.
+/// Finished waves that are remembered for each VM.
 pub const WAVES_KEPT: usize = 8;
-/// Entries that a data centre may have, old and new ones during a replacement together. Each holds
-/// this part of every worker's connections, so that their sum never passes the worker's bound.
+/// Entries that a data centre may have; during a replacement, old and new ones count together. Each
+/// holds this fraction of every worker's connections, so that their sum never exceeds the worker's
+/// limit.
 pub const ENTRY_LANES: u32 = 8;
 /// Longest time that an entry routes without hearing from the platform or a peer, in milliseconds.
 pub const AUTONOMY_MS: u64 = 7_200_000;
-/// Margin for the skew of wall clocks between VMs, in milliseconds.
+/// Margin for the skew between the wall clocks of VMs, in milliseconds.
 pub const CLOCK_SKEW_MS: u64 = 2_000;
 
 /// One record of a `fleet` stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetRecord {
-    /// Drawn by the writer; the same for every try of one append.
+    /// Drawn by the writer; the same for every attempt of one append.
     pub id: Uuid,
     /// Entry that wrote it.
     pub by: EntryName,
     /// Writer's wall clock, in milliseconds since the epoch.
     pub at_ms: u64,
-    /// What it says.
+    /// Content of the record.
     pub body: FleetBody,
 }
 
-/// What a record of a `fleet` stream says.
+/// Content of a record of a `fleet` stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FleetBody {
-    /// The writer wants to be steward of this term.
+    /// The writer claims the stewardship for this term.
     Claim {
-        /// The last term it has seen, plus one.
+        /// The last term that the writer has read, plus one.
         term: u64,
     },
     /// The writer serves from now on.
@@ -61,85 +64,85 @@
         /// Where peers reach it, IP:port.
         peer: String,
     },
-    /// The writer has stopped; nothing of it is in flight.
+    /// The writer has stopped and has nothing in flight.
     Leave,
-    /// The writer sends no more to this VM and has nothing in flight there.
+    /// The writer sends nothing more to this VM and has nothing in flight there.
     Confirm {
         /// The VM.
         vm: VmName,
-        /// Offset of the drain that it confirms.
+        /// Offset of the drain that is confirmed.
         drain: u64,
     },
     /// An act of the steward.
     Act {
-        /// Term of the steward.
+        /// Term under which the steward acts.
         term: u64,
-        /// What it does.
+        /// The act.
         act: StewardAct,
     },
 }
 
-/// What only the steward of the present term may write.
+/// Acts that only the steward of the current term may write.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StewardAct {
-    /// The steward is alive.
+    /// Heartbeat: the steward is alive.
     Beat,
-    /// An entry is taken off the roster.
+    /// Removes an entry from the roster.
     Evict {
         /// The entry.
         entry: EntryName,
     },
-    /// A spare VM becomes a pool's.
+    /// Assigns a spare VM to a pool.
     Assign {
         /// The VM.
         vm: VmName,
-        /// Its pool from now on.
+        /// Its new pool.
         pool: PoolName,
-        /// Boot number that its worker showed.
+        /// Boot number that its worker reported.
         boot: u64,
     },
-    /// A serving VM gets no new work.
+    /// Stops new work for a serving VM.
     Drain {
         /// The VM.
         vm: VmName,
-        /// Why.
+        /// Why it is drained.
         reason: DrainReason,
         /// Longest time limit of any request, in milliseconds.
         limit_ms: u64,
     },
-    /// A drained VM is being rebooted.
+    /// Records that a drained VM is being rebooted.
     Reboot {
         /// The VM.
         vm: VmName,
     },
-    /// A VM serves its pool again, after a reboot or a failure.
+    /// Returns a VM to service in its pool, after a reboot or a failure.
     Return {
         /// The VM.
         vm: VmName,
-        /// Boot number that its worker showed.
+        /// Boot number that its worker reported.
         boot: u64,
     },
-    /// A VM doesn't answer.
+    /// Records that a VM doesn't answer.
     Lost {
         /// The VM.
         vm: VmName,
     },
-    /// A drained or lost VM leaves its pool.
+    /// Takes a drained or lost VM out of its pool.
     Release {
         /// The VM.
         vm: VmName,
     },
-    /// Workers that a product lacked, times how long.
+    /// Charges missing workers to a product's availability budget.
     Spend {
         /// The product.
         product: ProductName,
-        /// Day of the steward's wall clock, since the epoch.
+        /// Day of the steward's wall clock, counted since the epoch.
         day: u64,
         /// Missing workers times milliseconds.
         worker_ms: u64,
     },
-    /// The fold's state, restated before the records behind it expire.
+    /// Snapshot of the state, written before the records that it replaces expire.
     Restate {
         /// State after every record below its `through`.
         state: Box<FleetState>,
@@ -150,19 +153,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainReason {
-    /// A maintenance wave.
+    /// For a maintenance wave.
     Wave(WaveName),
-    /// It goes to another pool.
+    /// To move it to another pool.
     Move,
 }
 
-/// Where a VM is in its life.
+/// Phase in the lifecycle of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmPhase {
-    /// Gets work.
+    /// Receives work.
     Serving,
-    /// Gets no new work; `awaiting` have not confirmed yet.
+    /// Receives no new work; the entries in `awaiting` have not confirmed yet.
     Draining {
         /// Offset of the drain.
         since: u64,
@@ -172,7 +175,8 @@
         reason: DrainReason,
         /// Longest time limit of any request, in milliseconds.
         limit_ms: u64,
-        /// Wall clock of the newest eviction of an awaited entry, in milliseconds.
+        /// Wall clock of the latest eviction of an entry whose confirmation was awaited, in
+        /// milliseconds.
         orphaned_at_ms: Option<u64>,
     },
     /// Being rebooted.
@@ -182,25 +186,26 @@
     },
     /// Doesn't answer.
     Lost {
-        /// Wave whose reboot it did not come back from.
+        /// Wave whose reboot it has not returned from.
         wave: Option<WaveName>,
     },
     /// Belongs to no pool.
     Spare,
 }
 
-/// What the fold knows of a VM.
+/// State of one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmState {
-    /// The one pool that it belongs to; none only while spare.
+    /// The only pool that it belongs to; `None` only for a spare VM.
     pub pool: Option<PoolName>,
-    /// Where it is in its life.
+    /// Current phase.
     pub phase: VmPhase,
-    /// Offset of the record that last made it serve: its assignment epoch.
+    /// Offset of the record that last put it into service: its assignment epoch.
     pub epoch: u64,
     /// Boot number at that time.
     pub boot: u64,
-    /// Boot number that an evicted entry may still route to; it may not serve another pool.
+    /// Boot number that an evicted entry may still route to; under it the VM may not serve another
+    /// pool.
     pub fenced_boot: Option<u64>,
     /// Waves that it has gone through, newest last.
     pub waves: Vec<WaveName>,
@@ -213,60 +218,60 @@
     pub peer: String,
     /// Offset of its join.
     pub joined: u64,
-    /// Its share of every worker's connections, below `ENTRY_LANES`.
+    /// Index of its share of every worker's connections, below `ENTRY_LANES`.
     pub lane: u32,
 }
 
-/// An entry that was taken off the roster and may not know it yet.
+/// An entry that was removed from the roster and may not have read that yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvictedEntry {
     /// Steward's wall clock at the eviction, in milliseconds since the epoch.
     pub at_ms: u64,
-    /// The lane that it may still use.
+    /// Lane that it may still use.
     pub lane: u32,
 }
 
-/// State of the fold; serialized whole in a restatement and between peers.
+/// Replayed state; serialized as a whole in snapshots and between peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetState {
-    /// Offset of the next record to fold.
+    /// Offset of the next record to apply.
     pub through: u64,
-    /// Term of the present steward; 0 while there was none.
+    /// Term of the current steward; 0 before the first claim.
     pub term: u64,
-    /// The present steward.
+    /// Current steward.
     pub steward: Option<EntryName>,
     /// Offset of the steward's newest accepted record.
     pub steward_seen: u64,
     /// Entries that route in this data centre.
     pub roster: BTreeMap<EntryName, RosterEntry>,
-    /// The first entry that ever joined: before it, nobody owned anything.
+    /// The first entry that ever joined; before that, no key had an owner.
     pub first: Option<EntryName>,
     /// Entries that were evicted within the last `AUTONOMY_MS`.
     pub evicted: BTreeMap<EntryName, EvictedEntry>,
     /// Offset of the record that last changed the roster.
     pub roster_epoch: u64,
-    /// What products spent of their availability budgets, in missing workers times milliseconds, by
-    /// day.
+    /// Availability budget that each product has spent, by day, in missing workers times
+    /// milliseconds.
     pub spent: BTreeMap<ProductName, BTreeMap<u64, u64>>,
-    /// VMs by name; one that was never assigned is missing, and spare.
+    /// VMs by name. A VM that was never assigned is missing here and is spare.
     pub vms: BTreeMap<VmName, VmState>,
 }
 
-/// What a record did.
+/// Effect of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetOutcome {
     /// It changed the state.
     Accepted,
-    /// It was folded before.
+    /// It had been applied before.
     AlreadyApplied,
-    /// It came from a steward whose term is over.
+    /// It came from a steward whose term has ended.
     StaleTerm,
     /// The rules don't allow it in this state.
     Refused,
 }
 
 impl FleetState {
-    /// Folds the record at `offset`.
+    /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: u64, record: &FleetRecord) -> FleetOutcome {
         if offset < self.through {
             return FleetOutcome::AlreadyApplied;
@@ -283,12 +288,13 @@
         outcome
     }
 
-    /// Skips a record that can't be read; every process skips the same one.
+    /// Skips an unreadable record; every process skips the same ones.
     pub fn skip(&mut self, offset: u64) {
         self.through = self.through.max(offset + 1);
     }
 
-    /// Takes over a newer state, from a restatement or a peer; an older one changes nothing.
+    /// Replaces this state by a newer one from a snapshot or a peer. Returns false and changes
+    /// nothing if it isn't newer.
     pub fn adopt(&mut self, state: &FleetState) -> bool {
         if state.through <= self.through {
             return false;
@@ -302,7 +308,7 @@
         self.vms.get(vm).cloned().unwrap_or_else(spare_vm)
     }
 
-    /// The roster as owners of keys look at it.
+    /// The roster as needed to decide who owns idempotency keys.
     pub fn roster_view(&self) -> RosterView {
         let entries = self.roster.iter().map(|(name, entry)| (name.clone(), entry.joined));
         let evicted = self.evicted.iter().map(|(name, entry)| (name.clone(), entry.at_ms));
@@ -331,7 +337,8 @@
         if self.roster.contains_key(&record.by) || self.evicted.contains_key(&record.by) {
             return FleetOutcome::Refused;
         }
-        // Twice, so that no key that it ran is still within its window when it is forgotten.
+        // Twice the autonomy: by then, the window of every key that the evicted entry ran has
+        // passed.
         let is_forgotten = |entry: &EvictedEntry| entry.at_ms + 2 * AUTONOMY_MS < record.at_ms;
         self.evicted.retain(|_, entry| !is_forgotten(entry));
         let Some(lane) = self.free_lane(record.at_ms) else { return FleetOutcome::Refused };
@@ -396,8 +403,9 @@
         term: u64,
         act: &StewardAct,
     ) -> FleetOutcome {
-        // A steward frozen for minutes wakes and writes on: its term was claimed by another since.
-        // Its plan rests on a state that is gone, so none of it may count.
+        // A steward that was paused for minutes resumes and goes on writing although another entry
+        // has claimed its term since. Its plan is based on an outdated state, so none of it may
+        // take effect.
         if term != self.term || self.steward.as_ref() != Some(&record.by) {
             return FleetOutcome::StaleTerm;
         }
@@ -419,7 +427,8 @@
 
     fn assign(&mut self, offset: u64, vm: &VmName, pool: &PoolName, boot: u64) -> FleetOutcome {
         let state = self.vms.entry(vm.clone()).or_insert_with(spare_vm);
-        // An evicted entry that is only cut off still sends the old pool's requests to this boot.
+        // An evicted entry that is only partitioned still sends requests of the old pool to this
+        // boot.
         if state.phase != VmPhase::Spare || state.fenced_boot == Some(boot) {
             return FleetOutcome::Refused;
         }
@@ -436,7 +445,7 @@
         reason: &DrainReason,
         limit_ms: u64,
     ) -> FleetOutcome {
-        // An entry evicted just now may still have requests in flight, and confirms nothing.
+        // A recently evicted entry may still have requests in flight, and will confirm nothing.
         let evicted = self.evicted.values().map(|entry| entry.at_ms).max();
         let orphaned_at_ms = evicted.filter(|evicted| evicted + limit_ms > at_ms);
         let awaiting: BTreeSet<EntryName> = self.roster.keys().cloned().collect();
@@ -500,7 +509,8 @@
         match &state.phase {
             VmPhase::Draining { awaiting, .. } if awaiting.is_empty() => {}
             VmPhase::Rebooting { reason: DrainReason::Move } => {}
-            // Entries may still send to the boot that was lost; the next pool gets another one.
+            // Entries may still send to the boot that was lost, so the next pool must get another
+            // boot.
             VmPhase::Lost { .. } => state.fenced_boot = Some(state.boot),
             VmPhase::Draining { .. }
             | VmPhase::Rebooting { .. }
@@ -519,13 +529,14 @@
         FleetOutcome::Accepted
     }
 
-    /// What a product spent in the days up to `day`, in missing workers times milliseconds.
+    /// Budget that a product has spent in the budget period up to `day`, in missing workers times
+    /// milliseconds.
     pub fn spent_worker_ms(&self, product: &ProductName, day: u64) -> u64 {
         let days = self.spent.get(product).into_iter().flatten();
         days.filter(|(kept, _)| *kept + BUDGET_DAYS > day).map(|(_, spent)| spent).sum()
     }
 
-    /// A VM belongs to exactly one pool: it has one unless it is spare, and only then none.
+    /// A VM belongs to exactly one pool unless it is spare, and a spare VM to none.
     fn assert_ownership(&self) {
         for (vm, state) in &self.vms {
             let spare = state.phase == VmPhase::Spare;
@@ -535,7 +546,7 @@
 }
 
 impl VmState {
-    /// Whether no entry can have work in flight there any more, at this wall clock.
+    /// Whether no entry can still have work in flight there, at this wall clock.
     pub fn is_drained(&self, at_ms: u64) -> bool {
         match &self.phase {
             VmPhase::Draining { awaiting, limit_ms, orphaned_at_ms, .. } => {
@@ -546,7 +557,7 @@
         }
     }
 
-    /// An evicted entry may go on routing to a VM that had a pool at that time.
+    /// An evicted entry may go on routing to a VM that had a pool at the time of the eviction.
     fn fence(&mut self, entry: &EntryName, evicted_at_ms: u64) {
         if self.phase != VmPhase::Spare {
             self.fenced_boot = Some(self.boot);
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -1,26 +1,26 @@
-//! Which workers are left out because they fail.
+//! Outlier detection: which workers are ejected because they fail.
 //!
-//! A worker that fails everything it starts answers at once and so looks idle: a balancer that ranks
-//! by load alone sends it ever more. Workers are judged by what they got done, against the median of
-//! their own pool: when everything fails, the cause is elsewhere, and leaving workers out would only
-//! drown the rest.
+//! A worker that fails every request answers at once and therefore looks idle; a balancer that
+//! ranks by load alone sends it more and more. A worker's failure rate is compared with the median
+//! of its own pool: if everything fails, the cause is elsewhere, and ejecting workers would only
+//! overload the remaining ones.
 
 use std::time::Duration;
 
 /// Weight of the newest outcome in a worker's failure rate.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Failures in a row that are enough to judge by.
+/// Consecutive failures after which a worker may be ejected.
 const FAILURES_IN_A_ROW: u32 = 3;
-/// How far above the median of its pool a worker's failure rate must be.
+/// How far a worker's failure rate must be above the median of its pool.
 const MEDIAN_MARGIN: f64 = 0.25;
-/// Part of a pool that may be left out at a time.
+/// Share of a pool that may be ejected at a time.
 const EJECTED_SHARE_MAX: f64 = 0.34;
-/// Successes in a row after which a worker on trial is back.
+/// Consecutive successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// Longest time left out, in units of the first.
+/// Longest ejection, as a multiple of the first.
 const BACKOFF_MAX: u32 = 16;
 
-/// What an entry has seen of a worker.
+/// What an entry has seen of a worker's outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HealthRecord {
     failure_rate: f64,
@@ -30,23 +30,23 @@
     status: HealthStatus,
 }
 
-/// Whether a worker gets requests.
+/// Whether a worker receives requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// Gets its part.
+    /// Receives its share.
     #[default]
     Healthy,
-    /// Gets nothing until this time, counted from the entry's start.
+    /// Receives nothing until the ejection ends.
     Ejected {
-        /// End of the time left out.
+        /// End of the ejection, as time since the entry started.
         until: Duration,
     },
-    /// Gets one idempotent request at a time.
+    /// Receives one idempotent request at a time.
     OnProbation,
 }
 
 impl HealthRecord {
-    /// Notes what became of a request.
+    /// Records the outcome of a request.
     pub fn record(&mut self, succeeded: bool) {
         let newest = if succeeded { 0.0 } else { 1.0 };
         self.failure_rate += NEWEST_WEIGHT * (newest - self.failure_rate);
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Part of the newest requests that failed.
+    /// Weighted share of recent requests that failed.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Standing at `now`; a time left out that is over turns into a trial.
+    /// Status at `now`; an ejection that has ended becomes a probation.
     pub fn status(&mut self, now: Duration) -> HealthStatus {
         if let HealthStatus::Ejected { until } = self.status
             && now >= until
@@ -81,8 +81,8 @@
         self.status
     }
 
-    /// Whether this worker is to be left out, given the failure rates of its whole pool and how
-    /// many of it are left out already.
+    /// Whether this worker should be ejected, given the failure rates of its whole pool and how
+    /// many workers of the pool are ejected already.
     pub fn is_ejection_due(&self, pool_rates: &mut [f64], ejected: usize) -> bool {
         let has_failed_probation =
             self.status == HealthStatus::OnProbation && self.failures_in_a_row > 0;
@@ -93,7 +93,7 @@
             && (has_failed_probation || self.failure_rate > median(pool_rates) + MEDIAN_MARGIN)
     }
 
-    /// Leaves the worker out; each time for longer.
+    /// Ejects the worker: for `first`, and for twice as long each further time, up to a maximum.
     pub fn eject(&mut self, now: Duration, first: Duration) {
         let factor = 1u32.checked_shl(self.ejections).unwrap_or(BACKOFF_MAX).min(BACKOFF_MAX);
         self.ejections += 1;
@@ -101,7 +101,7 @@
     }
 }
 
-/// Most workers of a pool that may be left out; one at least where there are two.
+/// Workers of a pool that may be ejected at a time; at least one if there are two.
 fn ejected_max(workers: usize) -> usize {
     let (mut allowed, mut part) = (0, 0.0);
     let size = f64::from(u32::try_from(workers).unwrap_or(u32::MAX));
--- a/src/decide/intent.rs
+++ b/src/decide/intent.rs
@@ -1,9 +1,10 @@
-//! Folds the `intent` stream into the one accepted document.
+//! Replays the `intent` stream into the one accepted document.
 //!
-//! The log has no compare-and-set, so the fold is the arbiter: a publish counts only if its `base`
-//! is the revision in force when the fold reaches it. Two racing operators get one winner, and the
-//! revision is the log offset, so nothing reverts. A publish whose answer was lost is appended
-//! again under the same id; the fold remembers ids and tells the publisher what became of the first.
+//! The log has no compare-and-set, so the replay decides: a publish takes effect only if its `base`
+//! is the current revision when its record is applied. Of two operators who race, one wins. The
+//! revision is the offset in the log, so no revision is ever reverted. A publish whose answer was
+//! lost is appended again under the same id; the state remembers ids and tells the publisher the
+//! outcome of the first attempt.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,34 +14,35 @@
 
 use crate::document::{self, IntentDocument};
 
-/// Publishes whose verdict is remembered, for publishers that lost the answer.
+/// Publishes whose outcome is remembered, for publishers that lost the answer.
 pub const OUTCOMES_KEPT: usize = 512;
 
 /// One record of the `intent` stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct IntentRecord {
-    /// Drawn by the publisher; the same for every try of one publish.
+    /// Drawn by the publisher; the same for every attempt of one publish.
     pub id: Uuid,
-    /// Publisher's wall clock, in milliseconds since the epoch; shown, never decided on.
+    /// Publisher's wall clock, in milliseconds since the epoch; for display only, no decision
+    /// depends on it.
     pub at_ms: u64,
     /// Who published, as given on the command line.
     pub by: String,
-    /// What is published.
+    /// Content of the record.
     pub body: IntentBody,
 }
 
-/// What a record of the `intent` stream says.
+/// Content of a record of the `intent` stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IntentBody {
-    /// A whole document, edited from the accepted one at `base`.
+    /// A complete document, edited from the accepted one at `base`.
     Publish {
-        /// Revision that it was edited from; none for the first document.
+        /// Revision that it was edited from; `None` for the first document.
         base: Option<u64>,
-        /// The whole document.
+        /// The complete document.
         document: Box<IntentDocument>,
     },
-    /// The fold's state, restated before the records behind it expire.
+    /// Snapshot of the state, written before the records that it replaces expire.
     Restate {
         /// State after every record below `through`.
         state: IntentState,
@@ -50,9 +52,9 @@
 /// The accepted document and its revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedIntent {
-    /// Offset of the record that was accepted.
+    /// Offset of the accepted record.
     pub revision: u64,
-    /// Id of that publish.
+    /// Id of the publish.
     pub id: Uuid,
     /// Who published it.
     pub by: String,
@@ -62,25 +64,25 @@
     pub document: IntentDocument,
 }
 
-/// What became of a publish.
+/// Outcome of a publish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PublishOutcome {
-    /// In force as this revision.
+    /// Accepted as this revision.
     Accepted {
         /// The new revision.
         revision: u64,
     },
-    /// Another document was accepted since `base`.
+    /// Another document had been accepted since `base`.
     Lost {
-        /// Revision that is in force instead.
+        /// Revision that is current instead.
         current: Option<u64>,
     },
-    /// The document has faults; a checked publisher never sends one.
+    /// The document is invalid; a publisher that checks it first never sends one.
     Faulty,
 }
 
-/// Verdict on one publish, as history shows it.
+/// Outcome of one publish, for the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PublishResult {
     /// Offset of the record.
@@ -91,28 +93,29 @@
     pub by: String,
     /// Publisher's wall clock, in milliseconds since the epoch.
     pub at_ms: u64,
-    /// What became of it.
+    /// The outcome.
     #[serde(rename = "verdict")]
     pub outcome: PublishOutcome,
 }
 
-/// State of the fold; serialized whole in a restatement and between peers.
+/// Replayed state; serialized as a whole in snapshots and between peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IntentState {
-    /// Offset of the next record to fold.
+    /// Offset of the next record to apply.
     pub through: u64,
-    /// The document in force.
+    /// Current document.
     pub accepted: Option<Arc<AcceptedIntent>>,
-    /// Offset of the newest restatement.
+    /// Offset of the newest snapshot.
     #[serde(default)]
     pub restated: u64,
-    /// The newest verdicts, oldest first.
+    /// Outcomes of the newest publishes, oldest first.
     #[serde(rename = "verdicts")]
     pub outcomes: VecDeque<PublishResult>,
 }
 
 impl IntentState {
-    /// Folds the record at `offset`. Records below `through` were folded before and change nothing.
+    /// Applies the record at `offset`. Records below `through` have been applied before and change
+    /// nothing.
     pub fn apply(&mut self, offset: u64, record: &IntentRecord) {
         if offset < self.through {
             return;
@@ -124,12 +127,13 @@
         }
     }
 
-    /// Skips a record that can't be read; every process skips the same one.
+    /// Skips an unreadable record; every process skips the same ones.
     pub fn skip(&mut self, offset: u64) {
         self.through = self.through.max(offset + 1);
     }
 
-    /// Takes over a newer state, from a restatement or a peer; an older one changes nothing.
+    /// Replaces this state by a newer one from a snapshot or a peer. Returns false and changes
+    /// nothing if it isn't newer.
     pub fn adopt(&mut self, state: &IntentState) -> bool {
         if state.through <= self.through {
             return false;
@@ -138,12 +142,12 @@
         true
     }
 
-    /// Revision in force.
+    /// Current revision.
     pub fn revision(&self) -> Option<u64> {
         self.accepted.as_ref().map(|accepted| accepted.revision)
     }
 
-    /// What became of a publish, if it was folded and is still remembered.
+    /// Outcome of a publish, if it was applied and is still remembered.
     pub fn outcome(&self, id: &Uuid) -> Option<PublishOutcome> {
         self.outcomes.iter().find(|line| line.id == *id).map(|line| line.outcome)
     }
@@ -155,8 +159,9 @@
         base: Option<u64>,
         document: &IntentDocument,
     ) {
-        // The first try's answer was lost after the append took effect; the publisher tried again.
-        // The base rule alone would refuse the copy, but would then tell the winner that it lost.
+        // The first attempt took effect but its answer was lost, and the publisher tried again. The
+        // rule about the base alone would refuse the copy as well, but would report a loss to the
+        // winner.
         if self.outcome(&record.id).is_some() {
             return;
         }
@@ -189,7 +194,7 @@
     }
 
     fn accept(&mut self, accepted: AcceptedIntent) {
-        // A revert would put an old document back in force everywhere at once.
+        // A revert would put an old document into force everywhere at once.
         assert!(
             self.revision().is_none_or(|revision| revision < accepted.revision),
             "an accepted configuration never reverts"
--- a/src/decide/key.rs
+++ b/src/decide/key.rs
@@ -1,9 +1,9 @@
-//! Idempotency keys: their form, and what became of each.
+//! Idempotency keys: their format, and the outcome recorded for each.
 //!
-//! A key is `uuid` or `data-centre:uuid`, where the UUID is of version 7 (RFC 9562) and so tells
-//! when it was minted. The owner remembers each key for a window; a key from outside the window is
-//! refused, since its outcome may have been forgotten. An owner that took over after a crash knows
-//! nothing of keys minted before and says `Unknown` rather than run one twice.
+//! A key is `uuid` or `data-centre:uuid` with a UUID of version 7 (RFC 9562), which contains its
+//! creation time. The owner remembers each key for a window and refuses keys from outside it, since
+//! their outcomes may have been forgotten. An owner that took over after a crash knows nothing
+//! about keys minted earlier; it answers `Unknown` rather than run a request twice.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,22 +15,22 @@
 use crate::error::ResultCode;
 use crate::name::{CentreName, is_well_formed};
 
-/// Largest answer kept for a key, in bytes; of a larger one only the code is kept.
+/// Largest answer that is kept for a key, in bytes; of a larger one only the code is kept.
 pub const KEPT_ANSWER_MAX: usize = 16 << 10;
 
-/// A key as a request carries it.
+/// An idempotency key as a request carries it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestKey {
-    /// Data centre that it is homed in, where it names one.
+    /// Data centre that owns the key, if the key names one.
     pub home: Option<CentreName>,
-    /// The key.
+    /// The UUID.
     pub id: Uuid,
     /// When it was minted, in milliseconds since the epoch.
     pub minted_ms: u64,
 }
 
 impl RequestKey {
-    /// Reads a key; none if it is malformed.
+    /// Parses a key; `None` if it is malformed.
     pub fn parse(text: &str) -> Option<RequestKey> {
         let (home, id) = match text.rsplit_once(':') {
             Some((home, id)) if is_well_formed(home) => (Some(CentreName::from(home)), id),
@@ -44,71 +44,71 @@
     }
 }
 
-/// An answer as it is kept and handed over.
+/// An answer as it is stored and handed over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Content type, where the worker gave one.
+    /// Content type, if the worker sent one.
     pub content_type: Option<String>,
-    /// Whole body; none if it was too large to keep.
+    /// Complete body; `None` if it was too large to keep.
     pub body: Option<Bytes>,
 }
 
-/// What became of a key.
+/// Outcome of the request with a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyOutcome {
-    /// Being run.
+    /// Still running.
     Running,
     /// Answered.
     Done(KeptAnswer),
-    /// Sent, and its outcome isn't known.
+    /// Sent to a worker, with an unknown outcome.
     Unknown,
 }
 
-/// What the owner remembers of a key.
+/// What the owner remembers about a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// The key.
+    /// The UUID.
     pub id: Uuid,
     /// When it was minted, in milliseconds since the epoch.
     pub minted_ms: u64,
-    /// Hash of the request, so that a key used twice for different requests is seen.
+    /// Hash of the request, to detect a key that is reused for a different request.
     pub fingerprint: u64,
-    /// What became of it.
+    /// Outcome so far.
     pub outcome: KeyOutcome,
 }
 
-/// What to do with a request that carries a key.
+/// How to handle a request that carries a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyDecision {
-    /// Run it; `finish` must follow.
+    /// Run it; a call of `finish` must follow.
     Run,
-    /// It ran; this was its answer.
+    /// It has run already; return this answer.
     Replay(KeptAnswer),
-    /// Refuse it, or say that its outcome is not known.
+    /// Refuse it, or report that its outcome is unknown.
     Answer(ResultCode),
-    /// Another entry owns it.
+    /// Another entry owns the key.
     Forward,
 }
 
-/// Bounds of the owner's memory.
+/// Limits of the key table.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyLimits {
-    /// Age up to which keys are taken, in milliseconds.
+    /// Age up to which keys are accepted, in milliseconds.
     pub window_ms: u64,
     /// Margin for callers' clocks, in milliseconds.
     pub skew_ms: u64,
-    /// Most keys.
+    /// Upper bound for remembered keys.
     pub keys_max: usize,
 }
 
-/// The owner's memory of keys.
+/// The keys that an owner remembers.
 #[derive(Debug)]
 pub struct KeyTable {
     limits: KeyLimits,
     records: HashMap<Uuid, KeyRecord>,
-    /// Keys by the time they were minted, for forgetting.
+    /// Keys ordered by creation time, for expiry.
     by_age: BTreeMap<(u64, Uuid), ()>,
 }
 
@@ -118,7 +118,7 @@
         KeyTable { limits, records: HashMap::new(), by_age: BTreeMap::new() }
     }
 
-    /// Keys remembered.
+    /// Number of remembered keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -128,7 +128,7 @@
         self.records.is_empty()
     }
 
-    /// Decides on a request and, where it is to run, marks its key as running.
+    /// Decides how to handle a request, and marks its key as running if it is to run.
     pub fn begin(
         &mut self,
         key: &RequestKey,
@@ -164,12 +164,12 @@
         KeyDecision::Run
     }
 
-    /// Whether a key is being run.
+    /// Whether any key is running.
     pub fn is_running(&self) -> bool {
         self.records.values().any(|record| record.outcome == KeyOutcome::Running)
     }
 
-    /// Notes the outcome of a key that was run; `None` if it was not run after all.
+    /// Records the outcome of a key that was run; `None` if it was not run after all.
     pub fn finish(&mut self, id: &Uuid, outcome: Option<KeyOutcome>) {
         match outcome {
             Some(outcome) => {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Takes a record from an earlier owner; an outcome that is known goes before one that isn't.
+    /// Adds a record from an earlier owner. A known outcome takes precedence over an unknown one.
     pub fn take_over(&mut self, record: KeyRecord) {
         let known = self.records.get(&record.id).map(|known| &known.outcome);
         match (known, &record.outcome) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The records of keys that `is_wanted` picks.
+    /// Records of the keys for which `is_wanted` holds.
     pub fn select(&self, is_wanted: impl Fn(&Uuid) -> bool) -> Vec<KeyRecord> {
         self.records.values().filter(|record| is_wanted(&record.id)).cloned().collect()
     }
@@ -205,7 +205,7 @@
         self.records.insert(record.id, record);
     }
 
-    /// A key is remembered for one window after the last moment it could be taken.
+    /// A key is kept for a whole window after the last moment at which it could be accepted.
     fn remove_expired(&mut self, wall_ms: u64) {
         let oldest = wall_ms.saturating_sub(self.limits.window_ms + 2 * self.limits.skew_ms);
         while let Some(entry) = self.by_age.first_entry() {
@@ -220,7 +220,8 @@
 
     fn is_in_window(&self, key: &RequestKey, wall_ms: u64) -> bool {
         let oldest = wall_ms.saturating_sub(self.limits.window_ms);
-        // A key from the future would pass for one minted after a take-over that came before it.
+        // A key from the future would look as if it had been minted after a takeover that in fact
+        // came later.
         let newest = wall_ms + self.limits.skew_ms;
         (oldest..=newest).contains(&key.minted_ms)
     }
--- a/src/decide/lease.rs
+++ b/src/decide/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on which an entry goes on acting by what it last knew.
+//! The lease under which an entry goes on acting on the last roster that it has read.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use crate::decide::roster::{LeaseTimes, Moment};
 use crate::name::EntryName;
 
-/// Difference between the steady clock and the system's that gives a pause away, in milliseconds.
+/// Lead of the wall clock over the steady clock that reveals a pause of the VM, in milliseconds.
 const PAUSE_DETECTION_MS: u64 = 1_000;
 
-/// Who has confirmed an entry's place on the roster, and when it was asked.
+/// Who has confirmed that an entry is on the roster, and when each of them was asked.
 #[derive(Clone, Debug, Default)]
 pub struct RosterLease {
     log: Option<Moment>,
@@ -17,25 +17,27 @@
 }
 
 impl RosterLease {
-    /// Notes that a read of the log, asked for at `asked`, showed the place at the log's end.
+    /// Records that a read of the log, requested at `asked`, reached the end of the log with the
+    /// entry on the roster.
     pub fn confirm_by_log(&mut self, asked: Moment) {
         self.log = Some(asked);
     }
 
-    /// Notes that a peer, asked at `asked`, knows no newer roster than ours.
+    /// Records that a peer, asked at `asked`, knows no newer roster than this entry does.
     pub fn confirm_by_peer(&mut self, peer: &EntryName, asked: Moment) {
         self.peers.insert(peer.clone(), asked);
     }
 
-    /// Time since the log confirmed the place.
+    /// Time since the log last confirmed the entry's place on the roster.
     pub fn log_age(&self, now: Moment) -> Option<Duration> {
         self.log.map(|asked| age(asked, now))
     }
 
-    /// Whether no roster without us can be in force that others act on: the log has shown ours
-    /// within the lease, or all others of the roster have said so. A roster can change only through
-    /// the log, and whoever takes over waits for our lease; the one who wrote the change is one of
-    /// `others`, or waits for our autonomy to be over.
+    /// Whether no other entry can be acting on a roster without this one: within the lease, either
+    /// the log has shown this entry on the roster or all other entries of the roster have confirmed
+    /// it. A roster changes only through the log, and whoever takes over waits for this entry's
+    /// lease. The steward that wrote the change is one of `others`, or waits until this entry's
+    /// autonomy has ended.
     pub fn is_fresh<'a>(
         &self,
         mut others: impl Iterator<Item = &'a EntryName>,
@@ -49,14 +51,14 @@
                 && others.all(|other| within(self.peers.get(other), times.lease))
     }
 
-    /// Whether the platform or a peer was heard within `time`.
+    /// Whether the platform or a peer has answered within `time`.
     pub fn has_contact_within(&self, time: Duration, now: Moment) -> bool {
         self.log.iter().chain(self.peers.values()).any(|asked| age(*asked, now) < time)
     }
 }
 
-/// Age by the slower of two clocks would let a paused VM act on a lease that is over: its steady
-/// clock may stand still while the others' go on. The system's clock gives that away.
+/// The steady clock of a paused VM may stand still while other clocks go on, so an age by the
+/// steady clock alone would let the VM act on an expired lease. The wall clock reveals the pause.
 fn age(asked: Moment, now: Moment) -> Duration {
     let steady = now.steady.saturating_sub(asked.steady);
     let system_ms = now.wall_ms.saturating_sub(asked.wall_ms);
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -1,13 +1,14 @@
-//! Which entries keep a copy of the job log; the others ask them.
+//! Chooses which entries keep a replica of the job log; the other entries query them.
 //!
-//! The load that this answers: whoever follows the job log reads all that the jobs do. With every entry following it,
-//! what the log has to answer grows with entries times jobs; past its limit no reading is answered in time, those of
-//! the configuration and of the leadership among them. So a bounded number of entries follows it, spread over the data
-//! centres, the fittest to lead first, as a leader needs the copy. The leader lists them in its records on the
-//! leadership stream, which every entry reads.
+//! Following the job log means reading every change of every job. If every entry followed it, the
+//! read load of the log would grow with entries times jobs, and beyond the log's limit no read
+//! would be answered in time, including those of the configuration and of the leadership. A bounded
+//! number of entries therefore follows it. They are spread over the data centres, and the ones best
+//! suited to lead come first, because a leader needs the replica. The leader lists them in its
+//! records on the leadership stream, which every entry reads.
 //!
-//! Where nobody leads and none of those listed can (all may have lost their copies at once), others make a copy by
-//! themselves, a few a second.
+//! While nobody leads and none of the listed entries can (all may have lost their replicas at
+//! once), other entries make replicas by themselves, a few per second.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,37 +18,40 @@
 
 use crate::decide::executor::ExecutorOffer;
 
-/// Entries that keep a copy, where there are more. What they read of the log does not grow beyond this, and they carry
-/// out the leader's starts.
+/// Upper bound for replicas. The load of their reads on the log does not grow beyond this, and they
+/// carry out the leader's starts.
 pub const REPLICAS_MAX: usize = 24;
-/// Copies in each data centre, however many there are: one may be lost, and the other goes on answering.
+/// Replicas in each data centre, regardless of the number of data centres: if one is lost, the
+/// other goes on answering.
 const CENTRE_REPLICAS_MIN: usize = 2;
-/// Least time between two offers of an entry, in milliseconds.
+/// Shortest interval between two offers of an entry, in milliseconds.
 pub const OFFER_INTERVAL_MS: u64 = 1_200;
-/// Part of a second that the leader spends on each entry's offers: it takes 200 a second, however many entries there are.
+/// Interval between the offers of different entries, in milliseconds: the leader receives 200
+/// offers per second however many entries there are.
 const OFFER_SPACING_MS: u64 = 5;
-/// Offers that may be lost before an entry counts as gone.
+/// Offers that may be missed before an entry counts as gone.
 const LOST_OFFERS_MAX: u64 = 3;
-/// Time for which nobody leads, beyond the silence after which others may claim, until entries without a copy make one,
-/// in milliseconds.
+/// Time without a leader, beyond the renewal timeout, after which entries without a replica make
+/// one, in milliseconds.
 const UNLISTED_REPLICA_MS: u64 = 2_000;
 
-/// Entries that keep a copy of the job log, by data centre.
+/// Entries that keep a replica of the job log, by data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaList {
-    /// Their addresses, by data centre.
+    /// Addresses, by data centre.
     pub centres: BTreeMap<Arc<str>, BTreeSet<SocketAddr>>,
-    /// Entries that the leader knows, with those that keep none.
+    /// Number of entries that the leader knows, including those without a replica.
     pub entries: u32,
 }
 
 impl ReplicaList {
-    /// Whether an entry is listed.
+    /// Whether the entry at this address is listed.
     pub fn contains(&self, address: SocketAddr) -> bool {
         self.centres.values().any(|replicas| replicas.contains(&address))
     }
 
-    /// Whether nobody is listed: the leader is of a version that lists none, and every entry keeps a copy.
+    /// Whether no entry is listed: the leader's version lists none, and every entry keeps a
+    /// replica.
     pub fn is_empty(&self) -> bool {
         self.centres.values().all(BTreeSet::is_empty)
     }
@@ -57,7 +61,8 @@
         self.centres.entry(centre.clone()).or_default().insert(address);
     }
 
-    /// Those that a question is put to, in turn: the ones beside the asking entry first, each time another of them.
+    /// Order in which an entry in data centre `centre` queries them: first those in its own data
+    /// centre. `turn` rotates both groups.
     pub fn query_order(&self, centre: &str, turn: usize) -> Vec<SocketAddr> {
         let rotated = |replicas: Vec<SocketAddr>| {
             let start = turn % replicas.len().max(1);
@@ -73,13 +78,14 @@
     }
 }
 
-/// Time between two offers of an entry that keeps no copy, in milliseconds, by how many entries there are.
+/// Interval between two offers of an entry without a replica, in milliseconds, given the number of
+/// entries.
 pub fn offer_interval_ms(entries: u32) -> u64 {
     OFFER_INTERVAL_MS.max(u64::from(entries) * OFFER_SPACING_MS)
 }
 
-/// Time without a leader after which an entry that is not listed makes a copy, in milliseconds: spread so that about as
-/// many a second do as are needed in all.
+/// Time without a leader after which an unlisted entry makes a replica, in milliseconds. It is
+/// spread so that about as many entries per second make one as are needed in total.
 pub fn unlisted_replica_after_ms(entries: u32, incarnation: u64) -> u64 {
     let spread = u64::from(entries) * 1_000 / REPLICAS_MAX as u64;
     UNLISTED_REPLICA_MS + incarnation % spread.max(1)
@@ -93,7 +99,7 @@
     offered_ms: u64,
 }
 
-/// Chooses who keeps a copy, at the leader.
+/// Chooses which entries keep a replica; run by the leader.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaPlanner {
     known: BTreeMap<SocketAddr, KnownEntry>,
@@ -102,17 +108,17 @@
 }
 
 impl ReplicaPlanner {
-    /// One that goes on with what the leader before has listed.
+    /// Continues from the list of the previous leader.
     pub fn resume(list: ReplicaList, now: u64) -> ReplicaPlanner {
         ReplicaPlanner { known: BTreeMap::new(), list, started_ms: now }
     }
 
-    /// The list as it was last planned.
+    /// The list as last planned.
     pub fn list(&self) -> &ReplicaList {
         &self.list
     }
 
-    /// Takes an entry's offer.
+    /// Records an entry's offer.
     pub fn record_offer(&mut self, offer: &ExecutorOffer, now: u64) {
         let entry = KnownEntry {
             centre: offer.centre.clone(),
@@ -123,7 +129,7 @@
         self.known.insert(offer.address, entry);
     }
 
-    /// Who keeps a copy from now on.
+    /// Updates the list of entries that keep a replica from now on.
     pub fn plan(&mut self, now: u64) -> &ReplicaList {
         let age_max = |gap_ms: u64| LOST_OFFERS_MAX * gap_ms + OFFER_INTERVAL_MS / 3;
         let unlisted_age_max = age_max(offer_interval_ms(self.list.entries));
@@ -135,7 +141,8 @@
             };
             now < entry.offered_ms + age
         });
-        // Until every entry has had the time for an offer, those that were not heard of are not taken for gone.
+        // Until every entry has had time to send an offer, entries without one are not assumed to
+        // be gone.
         let is_warmed_up = now >= self.started_ms + unlisted_age_max;
         let count = u32::try_from(self.known.len()).unwrap_or(u32::MAX);
         self.list.entries = if is_warmed_up { count } else { count.max(self.list.entries) };
@@ -149,7 +156,8 @@
         &self.list
     }
 
-    /// The fittest entries of each data centre; those that have a copy before others that are as fit.
+    /// The best suited entries of each data centre; among equals, those that have a replica come
+    /// first.
     fn choose(&self, is_warmed_up: bool) -> Vec<(Arc<str>, SocketAddr)> {
         let mut centres: BTreeMap<&Arc<str>, Vec<(u64, bool, SocketAddr)>> = BTreeMap::new();
         for (address, entry) in &self.known {
@@ -159,7 +167,7 @@
         let is_small = usize::try_from(self.list.entries).is_ok_and(|all| all <= REPLICAS_MAX);
         let quota = match is_small {
             true => REPLICAS_MAX,
-            // A data centre of which nothing was heard yet keeps its part.
+            // A data centre without any offers so far keeps its share.
             false => {
                 let count = centres.len().max(self.list.centres.len());
                 (REPLICAS_MAX / count.max(1)).max(CENTRE_REPLICAS_MIN)
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,19 +1,19 @@
-//! The three outcomes of an attempt, and what may follow each.
+//! The three outcomes of an attempt, and whether a retry may follow.
 //!
-//! The type is the safeguard: only `NotRun` may go elsewhere freely. `Unknown` goes elsewhere only
-//! for idempotent work, since the worker may have run it; told as anything else, a settlement would
-//! be charged twice.
+//! The type enforces the rule: only `NotRun` may always be retried elsewhere. `Unknown` is retried
+//! only for idempotent work, since the worker may have run the request; a settlement that is
+//! reported as anything else would be charged twice.
 
 use std::time::Duration;
 
-/// What became of one attempt.
+/// Outcome of one attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome<A> {
-    /// The worker never had it, or refused it before running it.
+    /// The worker never received the request, or refused it before running it.
     NotRun(NotRunReason),
     /// The worker answered.
     Done(A),
-    /// It was handed to the connection and no whole answer came.
+    /// The request was handed to the connection and no complete answer arrived.
     Unknown(UnknownReason),
 }
 
@@ -22,9 +22,9 @@
 pub enum NotRunReason {
     /// The worker can't be reached.
     Connect,
-    /// The worker shows another boot number than the fold gave.
+    /// The worker reports another boot number than the fleet state has.
     WrongBoot,
-    /// All connections of this entry's share are taken.
+    /// All connections in this entry's share are in use.
     NoConnection,
     /// The connection closed before the request was handed to it.
     Closed,
@@ -35,7 +35,7 @@
 }
 
 impl NotRunReason {
-    /// Every reason.
+    /// Every reason, for metrics that list them all.
     pub const ALL: [NotRunReason; 6] = [
         NotRunReason::Connect,
         NotRunReason::WrongBoot,
@@ -45,7 +45,7 @@
         NotRunReason::Leaving,
     ];
 
-    /// Name for metric labels.
+    /// Value of the metric label.
     pub fn name(self) -> &'static str {
         match self {
             NotRunReason::Connect => "connect",
@@ -58,7 +58,7 @@
     }
 }
 
-/// Why an outcome is not known.
+/// Why the outcome of an attempt is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UnknownReason {
     /// The connection ended after the request was handed to it.
@@ -67,16 +67,16 @@
     Stalled,
     /// The deadline passed.
     Deadline,
-    /// The answer was cut or malformed.
+    /// The answer was truncated or malformed.
     Cut,
 }
 
 impl UnknownReason {
-    /// Every reason.
+    /// Every reason, for metrics that list them all.
     pub const ALL: [UnknownReason; 4] =
         [UnknownReason::Lost, UnknownReason::Stalled, UnknownReason::Deadline, UnknownReason::Cut];
 
-    /// Name for metric labels.
+    /// Value of the metric label.
     pub fn name(self) -> &'static str {
         match self {
             UnknownReason::Lost => "lost",
@@ -87,28 +87,28 @@
     }
 }
 
-/// Retries allowed in proportion to requests, so that retries can't feed an overload.
+/// Retry budget: allows retries in proportion to requests, so that retries can't feed an overload.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     tokens: f64,
     per_request: f64,
 }
 
-/// Retries that a quiet entry may do at once.
+/// Retries that an idle entry may make at once.
 const BUDGET_RESERVE: f64 = 20.0;
 
 impl RetryBudget {
-    /// A full budget that grows by `percent` hundredths of a retry a request.
+    /// A full budget that grows by `percent` hundredths of a retry per request.
     pub fn new(percent: u32) -> Self {
         RetryBudget { tokens: BUDGET_RESERVE, per_request: f64::from(percent) / 100.0 }
     }
 
-    /// Notes a request.
+    /// Credits the budget for one request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.per_request).min(BUDGET_RESERVE.max(self.per_request));
     }
 
-    /// Takes one retry, if one is left.
+    /// Withdraws one retry; false if less than one is left.
     pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -118,28 +118,28 @@
     }
 }
 
-/// What a request still has.
+/// State of a request between two attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryState {
-    /// Whether it may be run twice.
+    /// Whether the request may be run twice.
     pub idempotent: bool,
     /// Attempts made.
     pub attempts: u32,
-    /// Most attempts.
+    /// Upper bound for attempts.
     pub attempts_max: u32,
     /// Time until the deadline.
     pub left: Duration,
-    /// Time that a run usually takes.
+    /// Usual duration of a run.
     pub typical: Duration,
 }
 
-/// Whether an attempt that was not run may be made again elsewhere. It costs the worker nothing,
-/// so only the number of attempts and the deadline bound it.
+/// Whether an attempt that was not run may be retried on another worker. It cost the worker
+/// nothing, so only the number of attempts and the deadline bound it.
 pub fn may_retry(state: &RetryState) -> bool {
     state.attempts < state.attempts_max && state.left > state.typical
 }
 
-/// Whether an attempt that may have run, or that failed, may be made again elsewhere.
+/// Whether an attempt that may have run, or that failed, may be retried on another worker.
 pub fn may_run_again(state: &RetryState, budget: &mut RetryBudget) -> bool {
     state.idempotent && may_retry(state) && budget.try_withdraw()
 }
--- a/src/decide/roster.rs
+++ b/src/decide/roster.rs
@@ -1,14 +1,16 @@
-//! Who owns an idempotency key, and since when.
+//! Which entry owns an idempotency key, and since when.
 //!
-//! Inside its home data centre a key has one owner among the entries of the roster, by the highest
-//! random weight (rendezvous hashing), so that a change of the roster moves only the keys of the
-//! entry that came or went. Ownership itself is safe only together with three waits:
+//! Inside its home data centre, a key is owned by one entry of the roster, chosen by the highest
+//! random weight (rendezvous hashing): a change of the roster moves only the keys of the entry that
+//! joined or left. This alone does not make ownership exclusive. Three waits do:
 //!
-//! * An owner that is still up hands its outcomes over; until then the next owner refuses the key.
-//! * An owner that was evicted may still run keys until its lease is over; the next owner waits for
-//!   that and then calls every key minted before `Unknown` instead of running it.
-//! * An evicted owner that has never shown that it knows us doesn't ask us for its lease; we wait
-//!   out the longest time that it may go without the platform.
+//! * An owner that is still running hands its outcomes over; until then the next owner refuses the
+//!   key.
+//! * An evicted owner may run keys until its lease expires. The next owner waits for that, and then
+//!   answers `Unknown` for every key minted earlier instead of running it.
+//! * An evicted owner that has never shown that it knows this entry does not ask it for
+//!   confirmations. This entry then waits out the longest time that an owner may act without the
+//!   platform.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -17,11 +19,11 @@
 
 use crate::name::EntryName;
 
-/// Rosters that are kept to find earlier owners; more changes within a key's window are not followed
-/// and their keys are refused.
+/// Rosters kept to find earlier owners. If more changes fall within a key's window, older ones are
+/// not tracked and their keys are refused.
 const ROSTERS_KEPT: usize = 64;
 
-/// The entry that owns a key under a roster.
+/// The entry that owns a key, given the entries of a roster.
 pub fn owner<'a>(
     key: &[u8],
     roster: impl IntoIterator<Item = &'a EntryName>,
@@ -30,7 +32,7 @@
     roster.into_iter().max_by_key(|entry| (xxh3_64_with_seed(key, seed(entry)), *entry))
 }
 
-/// The home of a key that names none: one of the document's data centres, by hash.
+/// Home of a key that names none: one of the document's data centres, chosen by hash.
 pub fn home<'a, N>(key: &[u8], centres: &'a [N]) -> Option<&'a N> {
     let count = u64::try_from(centres.len()).ok().filter(|count| *count > 0)?;
     usize::try_from(xxh3_64_with_seed(key, 0) % count).ok().and_then(|index| centres.get(index))
@@ -39,38 +41,39 @@
 /// Times that bound ownership.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
-    /// Age up to which a proof of ownership counts.
+    /// Age up to which a confirmation of the roster is valid.
     pub lease: Duration,
-    /// Margin for clocks that run at different speeds, and between wall clocks.
+    /// Margin for clocks that run at different speeds, and for differences between wall clocks.
     pub skew: Duration,
-    /// Longest time that an owner goes on without the platform.
+    /// Longest time that an owner acts without hearing from the platform.
     pub autonomy: Duration,
 }
 
-/// What an entry knows of an earlier owner of its keys.
+/// What an entry knows about an earlier owner of its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FormerOwner {
     /// It has not handed over yet.
     Awaited,
-    /// It handed over; keys minted before `floor_ms` may have run elsewhere before.
+    /// It handed over; keys minted before `floor_ms` may have run elsewhere earlier.
     HandedOver { floor_ms: u64 },
-    /// It was evicted: it runs no key after `stopped` and none minted at or after `floor_ms`.
+    /// It was evicted: it runs no key after `stopped`, and none that was minted at or after
+    /// `floor_ms`.
     Evicted { stopped: Duration, floor_ms: u64 },
 }
 
-/// One roster that this entry has adopted.
+/// A roster that this entry has adopted.
 #[derive(Clone, Debug)]
 struct AdoptedRoster {
     epoch: u64,
     entries: BTreeSet<EntryName>,
 }
 
-/// What the owner of a key may do with it.
+/// What an entry may do with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyRight {
-    /// Look it up; run it if it is new and minted at or after `floor_ms`.
+    /// It owns the key: look it up, and run it if it is new and was minted at or after `floor_ms`.
     Own {
-        /// Wall clock in milliseconds; an unknown key minted before it may have run.
+        /// Wall clock in milliseconds; an unknown key minted earlier may have run.
         floor_ms: u64,
     },
     /// An earlier owner may still run it.
@@ -79,47 +82,49 @@
     Other,
 }
 
-/// The time, on this VM's steady clock and on its wall clock.
+/// A point in time on this VM's steady clock and on its wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
-    /// Time since the process started.
+    /// Steady clock: time since the process started.
     pub steady: Duration,
-    /// Milliseconds since the epoch.
+    /// Wall clock: milliseconds since the epoch.
     pub wall_ms: u64,
 }
 
-/// A roster as the fold gives it.
+/// The part of the fleet state that ownership of keys depends on.
 #[derive(Clone, Debug, Default)]
 pub struct RosterView {
-    /// Offset of the record that made it.
+    /// Offset of the record that created this roster.
     pub epoch: u64,
-    /// Entries with the offsets of their joins.
+    /// Entries, with the offsets of their joins.
     pub entries: BTreeMap<EntryName, u64>,
-    /// Entries that were evicted lately, with the wall clock of the eviction in milliseconds. An
-    /// entry that is in neither any more has left in good order.
+    /// Recently evicted entries, with the wall clock of the eviction in milliseconds. An entry that
+    /// is in neither map any more has left in an orderly way.
     pub evicted: BTreeMap<EntryName, u64>,
     /// The first entry that ever joined.
     pub first: Option<EntryName>,
 }
 
-/// The rosters that an entry has adopted and what it knows of earlier owners.
+/// Tracks which keys this entry owns: the rosters it has adopted, and what it knows about earlier
+/// owners.
 #[derive(Debug)]
 pub struct KeyOwnership {
     own_name: EntryName,
     times: LeaseTimes,
     rosters: VecDeque<AdoptedRoster>,
-    /// Entries that were there when we joined: they may have run what is ours since.
+    /// Entries that had joined earlier than this one: they may have run keys that are now its own.
     at_join: BTreeMap<EntryName, FormerOwner>,
-    /// Entries that have gone since: what was theirs may be ours now.
+    /// Entries that have left since: their keys may now belong to this entry.
     departed: BTreeMap<EntryName, FormerOwner>,
-    /// Entries that have shown that they know us, so that their lease needs our word.
+    /// Entries that have shown that they know this entry, so that their leases need its
+    /// confirmation.
     aware_peers: BTreeSet<EntryName>,
-    /// Keys minted before it were nobody's that we could ask.
+    /// Keys minted earlier had no owner that this entry could ask.
     first_floor_ms: u64,
 }
 
 impl KeyOwnership {
-    /// A book without a roster; owns nothing.
+    /// Starts without a roster; owns nothing.
     pub fn new(own_name: EntryName, times: LeaseTimes) -> Self {
         KeyOwnership {
             own_name,
@@ -143,7 +148,7 @@
         newest.into_iter().flatten().filter(|entry| **entry != self.own_name)
     }
 
-    /// Adopts a newer roster. Returns whether it was newer.
+    /// Adopts a roster if it is newer; returns whether it was.
     pub fn adopt(&mut self, roster: &RosterView, now: Moment) -> bool {
         let Some(joined) = roster.entries.get(&self.own_name) else { return false };
         if self.epoch().is_some_and(|newest| newest >= roster.epoch) {
@@ -167,7 +172,8 @@
         true
     }
 
-    /// Whoever joined before us may have run what is ours now; whoever joined after us has not.
+    /// Entries that joined earlier may have run keys that this entry owns now; entries that joined
+    /// later have not.
     fn record_join(&mut self, roster: &RosterView, joined: u64, now: Moment) {
         let is_first = roster.first.as_ref() == Some(&self.own_name);
         self.first_floor_ms = if is_first { 0 } else { now.wall_ms + millis(self.times.skew) };
@@ -180,7 +186,7 @@
     }
 
     fn record_departure(&mut self, entry: &EntryName, evicted_ms: Option<u64>, now: Moment) {
-        // It stopped before its leave; without its last hand-over its outcomes are lost.
+        // It stopped before it wrote its leave; without its last hand-over its outcomes are lost.
         let left = FormerOwner::HandedOver { floor_ms: now.wall_ms + millis(self.times.skew) };
         let end = evicted_ms.map_or(left, |at_ms| self.eviction(entry, at_ms, now));
         if self.at_join.get(entry) == Some(&FormerOwner::Awaited) {
@@ -189,8 +195,9 @@
         self.departed.entry(entry.clone()).or_insert(end);
     }
 
-    /// An entry that knows us asks for our word to renew its lease, and no longer gets it: it stops
-    /// within one lease. One that may not know us goes on until its autonomy is over.
+    /// An entry that knows this one needs its confirmation to renew the lease and no longer gets
+    /// it, so it stops within one lease. One that may not know this entry goes on until its
+    /// autonomy ends.
     fn eviction(&self, entry: &EntryName, evicted_ms: u64, now: Moment) -> FormerOwner {
         let wait = if self.aware_peers.contains(entry) {
             self.times.lease + self.times.skew
@@ -202,13 +209,14 @@
         FormerOwner::Evicted { stopped: now.steady + wait, floor_ms }
     }
 
-    /// Notes that an entry has shown that it knows us.
+    /// Records that an entry has shown that it knows this one.
     pub fn mark_aware(&mut self, entry: &EntryName) {
         self.aware_peers.insert(entry.clone());
     }
 
-    /// Notes a hand-over: `from` runs none of our keys any more, and neither does any of `retired`,
-    /// whose lease needed its word. The last one comes before a planned stop.
+    /// Records a hand-over: neither `from` nor any of `retired`, whose leases needed its
+    /// confirmation, runs keys of this entry any more. The last hand-over comes before a planned
+    /// stop.
     pub fn record_hand_over(&mut self, notice: &HandOverNotice<'_>) {
         self.mark_aware(notice.from);
         let state = FormerOwner::HandedOver { floor_ms: notice.floor_ms };
@@ -229,8 +237,8 @@
         }
     }
 
-    /// Whether we may hand over: whoever was there before us has, and every evicted entry that
-    /// asked for our word has stopped.
+    /// Whether this entry may hand over: all entries that joined earlier have handed over to it,
+    /// and every evicted entry that asked for its confirmation has stopped.
     pub fn may_hand_over(&self, now: Duration) -> bool {
         let awaited = self.at_join.values().any(|state| *state == FormerOwner::Awaited);
         !awaited
@@ -247,7 +255,7 @@
         self.rosters.back().and_then(|roster| owner(key, &roster.entries))
     }
 
-    /// Evicted entries that have stopped, since they asked for our word.
+    /// Evicted entries that asked for this entry's confirmation and have therefore stopped.
     pub fn retired(&self, now: Duration) -> Vec<EntryName> {
         let evicted = self.departed.iter().filter(|(entry, state)| {
             let stopped = match state {
@@ -259,8 +267,8 @@
         evicted.map(|(entry, _)| entry.clone()).collect()
     }
 
-    /// Floor that a hand-over from us carries: unknown keys minted before it may have run.
-    /// Evicted entries that may still run are left out: the next owner has them on its own list.
+    /// Floor to send with a hand-over: unknown keys minted earlier may have run. Evicted entries
+    /// that may still run keys are left out, because the next owner tracks them itself.
     pub fn floor_ms(&self, now: Duration) -> u64 {
         let states = self.at_join.values().chain(self.departed.values());
         let ended = states.filter(
@@ -271,17 +279,18 @@
         floors.chain(alone).max().unwrap_or(0)
     }
 
-    /// What we may do with a key now.
+    /// What this entry may do with a key at `now`.
     pub fn right(&self, key: &[u8], now: Duration) -> KeyRight {
         let Some(newest) = self.rosters.back() else { return KeyRight::Wait };
         if owner(key, &newest.entries) != Some(&self.own_name) {
             return KeyRight::Other;
         }
-        // Whoever was there when we joined may still act on a roster without us. That holds for a
-        // key that came to us from somebody else since, too: that one may have waited as we do.
+        // Entries that joined earlier may still act on a roster without this entry. The same holds
+        // for keys that came from another owner since, because that owner may have been waiting as
+        // well.
         let mut former: Vec<&FormerOwner> = self.at_join.values().collect();
         // Several changes may be read at once, so a key may have passed through owners that no
-        // adopted roster shows; each of them was on one, or waits for our hand-over.
+        // adopted roster shows. Each of them was on one, or is waiting for this entry's hand-over.
         let owners = self.rosters.iter().filter_map(|roster| owner(key, &roster.entries));
         if owners.into_iter().any(|entry| *entry != self.own_name) {
             former.extend(self.departed.values());
@@ -295,7 +304,7 @@
     }
 }
 
-/// The strictest of what each former owner leaves.
+/// Combines the restrictions that all former owners impose.
 fn strictest_right(former: &[&FormerOwner], floor_ms: u64, now: Duration) -> KeyRight {
     let mut floor = floor_ms;
     for state in former {
@@ -308,12 +317,12 @@
     KeyRight::Own { floor_ms: floor }
 }
 
-/// What a hand-over says besides the outcomes.
+/// Contents of a hand-over besides the outcomes.
 #[derive(Clone, Copy, Debug)]
 pub struct HandOverNotice<'a> {
-    /// Who hands over.
+    /// Entry that hands over.
     pub from: &'a EntryName,
-    /// Unknown keys minted before it may have run.
+    /// Unknown keys minted earlier may have run.
     pub floor_ms: u64,
     /// Evicted entries that have stopped.
     pub retired: &'a [EntryName],
--- a/src/decide/slot.rs
+++ b/src/decide/slot.rs
@@ -1,18 +1,18 @@
 //! How the entries of a data centre share a worker's slots.
 //!
 //! A worker runs a few requests at a time (8 in the brief) for all entries together, and no entry
-//! sees what another has just sent. `BorrowedSlots` is what the product uses; the others are the
-//! baselines that it is measured against.
+//! sees what another has just sent. Production uses `BorrowedSlots`; the other policies are the
+//! baselines that it is compared with.
 
 use rand::Rng;
 use rand::seq::index;
 
-/// What an entry knows of a worker's load.
+/// What an entry knows about a worker's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotView {
     /// Requests that this entry has in flight there.
     pub own: u32,
-    /// Requests that the other entries said they have in flight there.
+    /// Requests that the other entries reported to have in flight there.
     pub others: u32,
     /// Requests that the worker runs at a time.
     pub slots: u32,
@@ -25,8 +25,8 @@
     /// Most requests that this entry may have in flight at the worker.
     fn limit(&self, view: &SlotView, entries: u32) -> u32;
 
-    /// Most requests that this entry may have in flight at a worker that it tries now and then
-    /// although it seems full; 0 if it never does.
+    /// Limit for a worker that seems full and is probed occasionally all the same; 0 if it never
+    /// is.
     fn probe_limit(&self, _view: &SlotView) -> u32 {
         0
     }
@@ -35,15 +35,16 @@
     fn pick<R: Rng>(&self, open: &[SlotView], random: &mut R) -> Option<usize>;
 }
 
-/// The share that is an entry's own, whatever the others do; one at least.
+/// The slots that an entry may always use, whatever the others do; at least one.
 pub fn fair_share(slots: u32, entries: u32) -> u32 {
     (slots / entries.max(1)).max(1)
 }
 
-/// The better of two random workers; beyond its share an entry borrows what the others leave.
+/// The better of two random workers; beyond its share, an entry borrows the slots that the others
+/// leave free.
 ///
-/// The shortest queue over all workers was tried first: all entries see the same least-loaded worker
-/// by counts of the same age and rush to it.
+/// Choosing the shortest queue over all workers failed: all entries see the same least-loaded
+/// worker by equally old counts and send to it at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BorrowedSlots;
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// Baseline: every entry has a fixed part of each worker.
+/// Baseline: every entry has a fixed share of each worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StaticSplit;
 
@@ -99,7 +100,7 @@
     }
 }
 
-/// Baseline: a worker at random, without a look at its load, as round robin over many callers is.
+/// Baseline: a random worker regardless of load, like round robin over many callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RandomChoice;
 
--- a/src/decide/table.rs
+++ b/src/decide/table.rs
@@ -1,7 +1,8 @@
-//! The routing table: what the accepted document and the fold of the own data centre allow.
+//! The routing table of a data centre, derived from the accepted document and the data centre's
+//! fleet state.
 //!
-//! A VM is in the table only while the fold says that it serves; its epoch and boot number come
-//! along, so that a connection can be checked against the assignment that it was opened for.
+//! A VM is in the table only while the fleet state has it serving. Its epoch and boot number are
+//! included, so that a connection can be checked against the assignment that it was opened for.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +10,27 @@
 use crate::document::IntentDocument;
 use crate::name::{PoolName, VmName};
 
-/// A worker that gets requests of its pool.
+/// A worker that receives requests of its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRoute {
     /// The VM.
     pub vm: VmName,
-    /// Its worker, IP:port.
+    /// Address of its worker, IP:port.
     pub address: String,
     /// Requests that it runs at a time.
     pub slots: u32,
-    /// Connections that it keeps open at most, over all entries.
+    /// Open connections that it accepts at most, over all entries.
     pub connections: u32,
     /// Its assignment epoch.
     pub epoch: u64,
-    /// Boot number that its worker must show.
+    /// Boot number that its worker must report.
     pub boot: u64,
 }
 
-/// The workers of each pool in one data centre.
+/// The routable workers of each pool in one data centre.
 pub type PoolRoutes = BTreeMap<PoolName, Vec<TargetRoute>>;
 
-/// Builds the routes of one data centre.
+/// Builds the routes of one data centre; a pool without a serving VM has an empty list.
 pub fn routes(document: &IntentDocument, fleet: &FleetState) -> PoolRoutes {
     let mut routes: PoolRoutes =
         document.pools.iter().map(|pool| (pool.name.clone(), Vec::new())).collect();
@@ -53,8 +54,8 @@
     routes
 }
 
-/// Whether a request that saw `seen` may still go to a VM, by the VM's own assignment epoch
-/// (KIP-1251: assignment epoch <= client's epoch <= current epoch).
+/// Whether a request that saw epoch `seen` may still go to a VM, given the VM's own assignment
+/// epoch (KIP-1251: assignment epoch <= client's epoch <= current epoch).
 pub fn is_epoch_valid(assigned: u64, seen: u64, current: u64) -> bool {
     assigned <= seen && seen <= current
 }
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -1,13 +1,15 @@
-//! What a steward does next with its data centre's VMs: placement, drains, reboots, replacements.
+//! Plans a steward's next acts for the VMs of its data centre: placement, drains, reboots and
+//! replacements.
 //!
-//! One planning step looks at the document, the folds of all data centres and what the probes show,
-//! and returns acts for the steward to append. The steward acts on nothing it has not read back, so
-//! a step may return the same act twice; the fold refuses the second.
+//! A planning step looks at the document, the fleet states of all data centres and the probe
+//! results, and returns acts for the steward to append. The steward treats an act as done only once
+//! it has read it back, so a step may return the same act twice; the fleet state refuses the
+//! second.
 //!
-//! A drain never by itself takes a product below its capacity. It starts only if the shortfall that
-//! the loss of the worst remaining rack would cause until the drain is over fits what is left of
-//! the availability budget. So one buffer serves failures and maintenance, and a budget spent by
-//! failures narrows the wave until it pauses.
+//! A drain by itself never takes a product below its capacity. It starts only if the shortfall that
+//! a loss of the worst remaining rack would cause until the end of the drain fits into the rest of
+//! the availability budget. One reserve thus serves failures and maintenance, and a budget that
+//! failures have spent slows the wave down until it pauses.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,49 +20,49 @@
 
 /// Milliseconds in a day.
 pub const DAY_MS: u64 = 86_400_000;
-/// Most acts of one step; the rest follows in the next.
+/// Upper bound for the acts of one step; the rest follow in the next steps.
 const ACTS_MAX: usize = 64;
 
-/// What the steward's probes show of a worker.
+/// Probe results for a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeView {
-    /// Boot number of its newest answer.
+    /// Boot number in its newest answer.
     pub boot: u64,
     /// Whether the newest probe was answered.
     pub is_answering: bool,
-    /// Milliseconds since it last answered.
+    /// Milliseconds since its last answer.
     pub silent_ms: u64,
 }
 
-/// Times that a planning step uses, in milliseconds.
+/// Durations that a planning step uses, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanTimes {
-    /// Silence after which a VM counts as lost.
+    /// Time without an answer after which a VM counts as lost.
     pub lost_after_ms: u64,
-    /// Time that a lost VM gets to come back before a spare one takes its place.
+    /// Time that a lost VM has for coming back before a spare one replaces it.
     pub replace_after_ms: u64,
-    /// Time that a drain, a reboot and a return take together.
+    /// Estimated time of a drain, a reboot and a return together.
     pub drain_ms: u64,
 }
 
-/// Everything that a planning step looks at.
+/// Input of a planning step.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanInput<'a> {
-    /// Data centre that is planned for.
+    /// Data centre to plan for.
     pub centre: &'a CentreName,
     /// The accepted document.
     pub document: &'a IntentDocument,
-    /// Folds of all data centres.
+    /// Fleet states of all data centres.
     pub fleets: &'a BTreeMap<CentreName, Arc<FleetState>>,
-    /// What the probes show of this data centre's workers.
+    /// Probe results for this data centre's workers.
     pub probes: &'a BTreeMap<VmName, ProbeView>,
     /// Steward's wall clock, in milliseconds since the epoch.
     pub wall_ms: u64,
-    /// Times.
+    /// Durations.
     pub times: PlanTimes,
 }
 
-/// One step of the plan.
+/// Plans one step and returns the acts to append.
 pub fn plan(input: &PlanInput<'_>) -> Vec<StewardAct> {
     let mut planner = WavePlanner::new(input);
     planner.advance_drains();
@@ -72,18 +74,18 @@
     planner.acts
 }
 
-/// Workers of a product by what they do, over all data centres.
+/// Number of a product's workers by phase, over all data centres.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProductWorkers {
     /// Workers that serve.
     pub serving: u32,
-    /// Workers that are drained or rebooted on purpose.
+    /// Workers that are being drained or rebooted on purpose.
     pub planned: u32,
     /// Workers that are lost.
     pub lost: u32,
 }
 
-/// Counts every product's workers over the folds of all data centres, in one pass.
+/// Counts the workers of every product over the fleet states of all data centres, in one pass.
 pub fn product_workers<'a>(
     document: &'a IntentDocument,
     fleets: &BTreeMap<CentreName, Arc<FleetState>>,
@@ -113,19 +115,19 @@
     document.pools.iter().map(|pool| (&pool.name, &pool.product)).collect()
 }
 
-/// Workers that a product lacks now.
+/// Serving workers that a product lacks at the moment.
 pub fn shortfall(
     document: &IntentDocument,
     workers: &ProductWorkers,
     product: &ProductSpec,
 ) -> u32 {
-    // Before the first placement is through, the fleet is being set up and not short.
+    // Until the first placement is complete, the fleet is being set up and has no shortfall.
     let placed = workers.serving + workers.planned + workers.lost;
     let capacity = product.capacity.min(document.workers_of(&product.name));
     if placed < capacity { 0 } else { capacity.saturating_sub(workers.serving) }
 }
 
-/// A rack is named within its data centre.
+/// Key of a rack: rack names are unique only within a data centre.
 type RackKey<'a> = (&'a CentreName, &'a RackName);
 
 fn serving_by_rack<'a>(
@@ -153,7 +155,7 @@
     taken: BTreeSet<VmName>,
     workers_by_product: HashMap<&'a ProductName, ProductWorkers>,
     product_of: HashMap<&'a PoolName, &'a ProductName>,
-    /// Serving workers of each product by rack, this step's drains taken off.
+    /// Serving workers of each product by rack, without those that this step drains.
     racks: HashMap<&'a ProductName, HashMap<RackKey<'a>, u32>>,
     acts: Vec<StewardAct>,
 }
@@ -185,12 +187,12 @@
         self.probe(vm).filter(|probe| probe.is_answering).map(|probe| probe.boot)
     }
 
-    /// Takes drains and reboots that have begun to their end.
+    /// Continues the drains and reboots that have begun.
     fn advance_drains(&mut self) {
         for (vm, state) in &self.fleet.vms {
             match &state.phase {
                 VmPhase::Draining { reason, .. } if state.is_drained(self.input.wall_ms) => {
-                    // An evicted entry may know this boot; the next pool must not get it.
+                    // An evicted entry may know this boot, so the next pool must not get it.
                     let fenced = state.fenced_boot == Some(state.boot);
                     let act = match reason {
                         DrainReason::Move if !fenced => StewardAct::Release { vm: vm.clone() },
@@ -218,7 +220,7 @@
         self.acts.push(act);
     }
 
-    /// Notices VMs that were lost, restarted or came back.
+    /// Reacts to VMs that were lost, restarted or came back.
     fn follow_probes(&mut self) {
         for (vm, state) in &self.fleet.vms {
             let Some(probe) = self.probe(vm) else { continue };
@@ -260,7 +262,7 @@
         self.specs.values().any(|spec| self.assignable_boot(spec, pool).is_some())
     }
 
-    /// Boot number with which a spare VM can join the pool.
+    /// Boot number with which a spare VM can join the pool; `None` if it can't.
     fn assignable_boot(&self, spec: &VmSpec, pool: &PoolSpec) -> Option<u64> {
         let state = self.fleet.vm(&spec.name);
         let fits = state.phase == VmPhase::Spare
@@ -274,7 +276,7 @@
         members.filter(|(_, state)| state.pool.as_ref() == Some(pool)).collect()
     }
 
-    /// Fills pools with spare VMs, each where its product has the fewest in one rack.
+    /// Fills pools with spare VMs, preferring racks with the fewest members of the pool.
     fn fill_pools(&mut self) {
         let mut pools: Vec<&PoolSpec> = self.input.document.pools.iter().collect();
         pools.sort_by_key(|pool| std::cmp::Reverse(pool.accelerators));
@@ -297,7 +299,8 @@
         }
     }
 
-    /// The spare VM in the rack with the fewest of the pool; then the one that others need least.
+    /// The best spare VM for a pool: in the rack with the fewest members of the pool, and otherwise
+    /// the one that other pools need least.
     fn best_spare(
         &self,
         pool: &PoolSpec,
@@ -316,7 +319,7 @@
         })
     }
 
-    /// Drains VMs that their pool no longer asks for, and those the document no longer has.
+    /// Drains VMs that exceed the size of their pool, and VMs that the document no longer contains.
     fn drain_surplus(&mut self) {
         let mut surplus: Vec<&VmName> = Vec::new();
         for pool in &self.input.document.pools {
@@ -324,7 +327,7 @@
             let wanted = pool.workers.get(self.input.centre).copied().unwrap_or(0) as usize;
             let excess = members.len().saturating_sub(wanted);
             let mut members = members;
-            // Those that the document no longer has go first: they go in any case.
+            // VMs that the document no longer contains go first, since they have to go in any case.
             members.sort_by_key(|(vm, _)| self.specs.contains_key(*vm));
             let serving = members.iter().filter(|(_, state)| state.phase == VmPhase::Serving);
             let moving = members.iter().filter(|(_, state)| is_moving(state)).count();
@@ -386,14 +389,15 @@
         short * self.input.times.drain_ms <= self.remaining_budget_ms(product)
     }
 
-    /// Most VMs of a product out at a time: one, or as many as it has spare, by its weight.
+    /// VMs of a product that may be out of service at a time: one, or up to its number of spare
+    /// workers, depending on its rollout weight.
     fn parallel_max(&self, product: &ProductSpec) -> u32 {
         let spare = self.input.document.workers_of(&product.name).saturating_sub(product.capacity);
         let more = u64::from(spare.saturating_sub(1)) * u64::from(product.rollout_weight);
         1 + u32::try_from(more.div_ceil(100)).unwrap_or(u32::MAX)
     }
 
-    /// Most serving workers of a product in one rack, without `vm`.
+    /// Highest number of serving workers that a product has in one rack, not counting `vm`.
     fn worst_rack(&self, product: &ProductName, vm: &VmName) -> u32 {
         let own = self.specs.get(vm).map(|spec| &spec.rack);
         let racks = self.racks.get(product).into_iter().flatten();
@@ -411,7 +415,7 @@
         (u64::from(product.budget_worker_minutes) * 60_000).saturating_sub(spent)
     }
 
-    /// Starts drains of the waves, rack by rack, as far as capacities and budgets allow.
+    /// Starts the drains of the waves, rack by rack, as far as capacities and budgets allow.
     fn start_wave_drains(&mut self) {
         for wave in self.input.document.waves.iter().filter(|wave| !wave.cancelled) {
             let mut candidates = self.candidates(wave);
@@ -427,8 +431,8 @@
         }
     }
 
-    /// Serving VMs of this data centre that the wave has yet to reach, as many of each product as may
-    /// be out here.
+    /// Serving VMs of this data centre that the wave has not reached yet, for the products that may
+    /// have VMs out of service here.
     fn candidates(&self, wave: &WaveSpec) -> Vec<&'a VmName> {
         let pending = self.pending_by_centre(wave);
         let mut found = Vec::new();
@@ -447,7 +451,7 @@
         found
     }
 
-    /// VMs that the wave has yet to finish, by product and data centre.
+    /// VMs that the wave has not finished yet, by product and data centre.
     fn pending_by_centre(
         &self,
         wave: &WaveSpec,
@@ -468,9 +472,9 @@
         pending
     }
 
-    /// VMs of a product that this data centre may have out at a time: what is left of the product's
-    /// parallel drains after the data centres before it in the document's order have drained all that
-    /// they still have to. Stewards that drained without it would each count on the other's VMs.
+    /// VMs of a product that this data centre may have out of service at a time: the rest of the
+    /// product's parallel drains once the data centres that precede it in the document have drained
+    /// all their pending VMs. Otherwise each steward would count on the VMs of the others.
     fn allowance(
         &self,
         wave: &WaveSpec,
@@ -492,7 +496,8 @@
         state.pool.as_ref().and_then(|pool| self.product_of.get(pool)).copied()
     }
 
-    /// VMs of a product that are out in this data centre, this step's drains included.
+    /// VMs of a product that are out of service in this data centre, including the drains of this
+    /// step.
     fn unavailable_here(&self, product: &ProductName) -> u32 {
         let out = self.fleet.vms.iter().filter(|(vm, state)| {
             let planned =
@@ -502,7 +507,7 @@
         u32::try_from(out.count()).unwrap_or(u32::MAX)
     }
 
-    /// Racks that have VMs out already come first, so that a wave finishes one before the next.
+    /// Sorts racks with VMs out of service first, so that a wave finishes one rack before the next.
     fn rack_order(&self, vm: &VmName) -> (bool, Option<&'a RackName>, VmName) {
         let rack = self.specs.get(vm).map(|spec| &spec.rack);
         let begun = self.fleet.vms.iter().any(|(other, state)| {
--- a/src/decide/window.rs
+++ b/src/decide/window.rs
@@ -1,46 +1,48 @@
-//! How many commands may be under way at a time, by how long their answers take.
+//! Limits how many commands are in flight, based on the delay of their answers.
 //!
-//! The load that this answers: a burst asks for hundreds of starts a second, and this entry's link or
-//! processor carries fewer. Sent all at once they stand in the buffers of sockets. Renewals behind them
-//! reach their workers when the leases are over, answers come when they were given up, and the repeats
-//! make the line longer. Held back here, the most urgent goes first, and what is not wanted any more is
-//! never sent.
+//! A burst asks for hundreds of starts per second, more than this entry's link or processor can
+//! carry. If all were sent at once, they would queue in socket buffers: lease renewals behind them
+//! would reach their workers after the leases have expired, answers would come after the timeouts,
+//! and the retries would make the queue longer. Commands that are held back here are sent in order
+//! of urgency, and the ones that are no longer wanted are never sent.
 //!
-//! The window follows the delay of answers, as TCP Vegas does: it grows while they come about as fast as
-//! they ever do, and shrinks while they wait in a line. Losses alone would tell too late, since each
-//! has cost a time limit by then.
+//! The window follows the delay of answers, as TCP Vegas does: it grows while answers are about as
+//! fast as the fastest ones, and shrinks while they queue. Losses alone would be too late a signal,
+//! since each costs a whole timeout first.
 
-/// Delay beyond the shortest one from which answers are taken to wait in a line, in microseconds: longer
-/// than a busy process on half a core or less is late by itself, a third of the 450 ms for which a command
-/// is waited for.
+/// Delay above the minimum from which answers are considered queued, in microseconds: longer than
+/// the delay that a busy process on half a core or less adds by itself, and a third of the 450 ms
+/// timeout of a command.
 const QUEUE_DELAY_MAX_US: u64 = 150_000;
-/// Delay beyond the shortest one that a busy process shows without any line, in microseconds: it is no reason to
-/// make commits and renewals fewer, which every step of a job waits for.
+/// Delay above the minimum that a busy process adds without any queue, in microseconds. It is no
+/// reason to send fewer commits and renewals, which every step of a job waits for.
 const OWN_DELAY_US: u64 = 60_000;
-/// Time after which the last answers say nothing of the line any more, in milliseconds: while other entries
-/// carry out all starts there are none.
+/// Age from which the last answers say nothing about the queue any more, in milliseconds: there are
+/// no new answers while other entries carry out all starts.
 const ANSWER_AGE_MAX_MS: u64 = 2_000;
-/// Part of the smoothed delay that one answer counts, as in RFC 6298.
+/// Divisor for the weight of one answer in the smoothed delay, as in RFC 6298.
 const DELAY_SMOOTHING: u64 = 8;
-/// Commands that may be under way at the start, and least; each worker has one at a time. A window that
-/// begins narrow would hold a burst back on any link until it has opened.
+/// Initial and smallest window; each worker has one command in flight at a time. A narrow initial
+/// window would delay a burst on any link until it has opened.
 const SIZE_START: u64 = 128;
 const SIZE_MIN: u64 = 4;
-/// Most commands under way: more than there are workers at any size that the project is made for.
+/// Largest window: more than the number of workers at any supported size.
 const SIZE_MAX: u64 = 2_048;
-/// Least time between two cuts, in milliseconds: the answers to what was sent before one come first.
+/// Shortest interval between two reductions, in milliseconds: the answers to commands sent before
+/// the first one have to arrive before the next.
 const CUT_INTERVAL_MS: u64 = 100;
-/// What a cut leaves, in percent.
+/// Remaining share of the window after a reduction, in percent.
 const CUT_PERCENT: u64 = 75;
-/// Time for which the shortest delay counts, in milliseconds: workers and ways change.
+/// Time for which a minimum delay is valid, in milliseconds: workers and links change.
 const MIN_DELAY_AGE_MS: u64 = 20_000;
-/// Ends of commands by which it is told whether those without an answer are the rule: they are where the line
-/// is longer than any command is waited for. A dead rack's are not, and would close the window for all others.
+/// Recent commands that decide whether missing answers are the rule. They are if the queue is
+/// longer than the timeout of any command. Those of a dead rack are not, and would close the window
+/// for all other workers.
 const OUTCOMES_KEPT: u32 = 16;
-/// Unit of the window's size: it grows by parts of a command.
+/// Fixed-point unit of the window size, which grows by fractions of a command.
 const MILLI: u64 = 1_000;
 
-/// A window over commands under way.
+/// Congestion window for commands in flight.
 #[derive(Clone, Debug)]
 pub struct CommandWindow {
     size_milli: u64,
@@ -51,7 +53,7 @@
     min_delay_since_ms: u64,
     cut_ms: u64,
     answered_ms: u64,
-    /// Last ends, a bit each: set for one without an answer.
+    /// Outcomes of the last commands as bits; a set bit is a command without an answer.
     unanswered: u16,
 }
 
@@ -72,13 +74,13 @@
 }
 
 impl CommandWindow {
-    /// Commands that may be under way.
+    /// Commands that may be in flight.
     pub fn size(&self) -> usize {
         usize::try_from(self.size_milli / MILLI).unwrap_or(usize::MAX)
     }
 
-    /// Time that answers wait in a line of ours, in milliseconds: the smoothed delay less the shortest, and less
-    /// what the process is late by itself.
+    /// Time that answers spend in this entry's queue, in milliseconds: the smoothed delay minus the
+    /// minimum, and minus the delay that a busy process adds by itself.
     pub fn queue_delay_ms(&self, now: u64) -> u64 {
         if now >= self.answered_ms + ANSWER_AGE_MAX_MS {
             return 0;
@@ -86,8 +88,9 @@
         self.smoothed_us.saturating_sub(self.min_delay_us).saturating_sub(OWN_DELAY_US) / 1_000
     }
 
-    /// A command was answered after `delay_us` microseconds, or given up after that time. `is_full` tells
-    /// whether others wait for it: a window that is not used says nothing about what would fit.
+    /// Records that a command was answered after `delay_us` microseconds, or given up after that
+    /// time. `is_full` says whether other commands are waiting: a window that isn't fully used says
+    /// nothing about the capacity.
     pub fn record_end(&mut self, delay_us: u64, is_answered: bool, is_full: bool, now: u64) {
         self.unanswered = self.unanswered << 1 | u16::from(!is_answered);
         if !is_answered && self.unanswered.count_ones() * 2 <= OUTCOMES_KEPT {
@@ -126,18 +129,19 @@
     }
 
     fn grow(&mut self) {
-        // Before the first cut it doubles in the time of an answer, afterwards it grows by one.
+        // Slow start: until the first reduction the window doubles within the delay of one answer;
+        // later it grows by one.
         let step = if self.is_slow_start { MILLI } else { MILLI * MILLI / self.size_milli };
         self.size_milli = (self.size_milli + step).min(SIZE_MAX * MILLI);
     }
 }
 
-/// Time for which bytes that were not spent may be spent at once, in milliseconds.
+/// Longest time for which unused bytes accumulate, in milliseconds.
 const BURST_MS: u64 = 300;
-/// Bytes in a millisecond at 1 Mbit/s.
+/// Bytes per millisecond at 1 Mbit/s.
 const BYTES_PER_MS: u64 = 125;
 
-/// Bytes that may be sent, by a rate: a token bucket.
+/// Rate limit for sent bytes: a token bucket.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     bytes_per_ms: u64,
@@ -147,13 +151,13 @@
 }
 
 impl ByteBudget {
-    /// A budget of so many Mbit/s; under one of these, none at all.
+    /// A budget of `mbits` Mbit/s; with 0 it never allows anything.
     pub fn with_rate(mbits: u64) -> ByteBudget {
         let bytes_per_ms = mbits * BYTES_PER_MS;
         ByteBudget { bytes_per_ms, left: 0, debt: 0, filled_ms: 0 }
     }
 
-    /// Whether anything is left.
+    /// Whether any bytes are left.
     pub fn has_capacity(&mut self, now: u64) -> bool {
         let since = now.saturating_sub(self.filled_ms).min(BURST_MS);
         self.filled_ms = now;
@@ -164,7 +168,7 @@
         self.left > 0
     }
 
-    /// Spends bytes, also beyond what is left: that is made up for first.
+    /// Spends bytes, even more than are left; the debt is repaid before new bytes become available.
     pub fn charge(&mut self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.debt += bytes.saturating_sub(self.left);
