--- a/tests/executor_table.rs
+++ b/tests/executor_table.rs
@@ -23,7 +23,7 @@
 
 /// A batch takes an entry on an eighth of a core a tenth of a second. One on half a core gets four before that.
 #[test]
-fn the_entry_that_will_be_through_first_comes_first() {
+fn the_entry_that_will_finish_first_is_chosen() {
     let mut table = ExecutorTable::default();
     table.record_offer(ExecutorOffer { processor: 120, ..offer(1, "a") }, 1_000);
     table.record_offer(ExecutorOffer { processor: 500, ..offer(2, "b") }, 1_000);
@@ -39,7 +39,7 @@
 
 /// A worker's start goes to an entry of its own data centre, and to another one only if none there has room.
 #[test]
-fn an_entry_beside_the_worker_comes_first() {
+fn an_entry_in_the_workers_data_centre_is_preferred() {
     let mut table = ExecutorTable::default();
     table.record_offer(offer(1, "a"), 1_000);
     table.record_offer(offer(2, "b"), 1_000);
@@ -54,22 +54,22 @@
     let mut table = ExecutorTable::default();
     table.record_offer(offer(1, "a"), 1_000);
     table.record_offer(offer(2, "a"), 1_000);
-    let mut given = [0, 0];
+    let mut counts = [0, 0];
     for _ in 0..20 {
-        let picked = table.pick("a", 1_000).expect("room");
+        let picked = table.pick("a", 1_000).expect("an entry with capacity");
         assert!(table.begin_batch(picked, 4, 1_000).is_some());
-        given[usize::from(picked.port() - 1)] += 1;
+        counts[usize::from(picked.port() - 1)] += 1;
         if picked.port() == 2 {
             table.end_batch(picked, 4, true, 1_000);
         }
     }
-    assert!(given[1] >= 15, "{given:?}");
+    assert!(counts[1] >= 15, "{counts:?}");
 }
 
 /// An entry that lost power offers itself no more, and its last batch had no answer. Starts must not wait for it:
 /// it is passed over at once, and forgotten once its last offer is old.
 #[test]
-fn an_entry_that_does_not_answer_is_passed_over() {
+fn an_entry_that_does_not_answer_is_excluded() {
     let mut table = ExecutorTable::default();
     table.record_offer(offer(1, "a"), 1_000);
     assert!(table.begin_batch(address(1), 4, 1_100).is_some());
@@ -85,7 +85,7 @@
 /// An executor tells by its own clock how old a batch is: the leader adds to the clock that the offer showed the
 /// time since.
 #[test]
-fn a_batch_carries_the_executors_own_time() {
+fn a_batch_is_stamped_with_the_executors_own_clock() {
     let mut table = ExecutorTable::default();
     table.record_offer(offer(1, "a"), 1_000);
     let stamp = table.begin_batch(address(1), 1, 1_700).expect("known");
@@ -94,7 +94,7 @@
 
 /// A budget of 1 Mbit/s lets 125 KB a second through, also where each single send is larger than what is left.
 #[test]
-fn a_budget_holds_over_time() {
+fn a_byte_budget_bounds_the_rate_over_time() {
     let mut budget = ByteBudget::with_rate(1);
     let mut sent = 0;
     for now in 1_000..6_000 {
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -153,7 +153,7 @@
     /// The newest accepted claim.
     terms: (u64, EntryName),
     now_ms: u64,
-    boots: u64,
+    newest_boot: u64,
 }
 
 impl FleetModel {
@@ -169,26 +169,26 @@
             held: Vec::new(),
             terms: (0, entry_name(0)),
             now_ms: 0,
-            boots: 100,
+            newest_boot: 100,
         }
     }
 
     fn append(&mut self, record: FleetRecord) {
         let offset = self.log.len() as u64;
         self.log.push(record.clone());
-        let verdict = self.fold.apply(offset, &record);
+        let outcome = self.fold.apply(offset, &record);
         if let FleetBody::Act { term, .. } = &record.body {
             // A steward whose term was claimed by another since changes nothing.
             let is_stale = *term != self.terms.0 || record.by != self.terms.1;
-            assert!(!is_stale || verdict != FleetOutcome::Accepted, "a stale act counted");
+            assert!(!is_stale || outcome != FleetOutcome::Accepted, "a stale act counted");
         }
-        if verdict == FleetOutcome::Accepted {
-            self.note(&record);
+        if outcome == FleetOutcome::Accepted {
+            self.apply_to_truth(&record);
         }
     }
 
     /// The truth follows accepted records only.
-    fn note(&mut self, record: &FleetRecord) {
+    fn apply_to_truth(&mut self, record: &FleetRecord) {
         if matches!(record.body, FleetBody::Join { .. })
             && let Some(entry) = self.entries.get_mut(&record.by)
         {
@@ -222,21 +222,21 @@
                 self.vms.get_mut(vm).expect("the model's VMs are fixed").pool = None;
             }
             StewardAct::Reboot { vm } => {
-                self.boots += 1;
+                self.newest_boot += 1;
                 let truth = self.vms.get_mut(vm).expect("the model's VMs are fixed");
                 // A planned stop cuts nothing off that was sent before the drain. What an evicted
                 // entry sends after its eviction is the worker's own grace to finish.
                 for (name, entry) in &self.entries {
-                    let cut = entry.in_flight.iter().find(|request| {
+                    let cut_off = entry.in_flight.iter().find(|request| {
                         request.vm == *vm
                             && request.boot == truth.boot
                             && request.sent_ms < truth.drained_ms
                             && request.sent_ms + LIMIT_MS > self.now_ms
                             && entry.evicted_ms.is_none_or(|evicted| request.sent_ms <= evicted)
                     });
-                    assert!(cut.is_none(), "the reboot of {vm} cut off {cut:?} of {name}");
+                    assert!(cut_off.is_none(), "the reboot of {vm} cut off {cut_off:?} of {name}");
                 }
-                truth.boot = self.boots;
+                truth.boot = self.newest_boot;
             }
             _ => {}
         }
@@ -317,8 +317,8 @@
                 entry.in_flight.retain(|request| request.vm != vm);
             }
             ModelStep::Restart(vm) => {
-                self.boots += 1;
-                self.vms.get_mut(&vm_name(vm)).expect("VMs are fixed").boot = self.boots;
+                self.newest_boot += 1;
+                self.vms.get_mut(&vm_name(vm)).expect("VMs are fixed").boot = self.newest_boot;
             }
             ModelStep::Wait(time) => {
                 self.now_ms += u64::from(time);
@@ -332,7 +332,9 @@
                     self.send(&entry_name(entry), vm);
                 }
             }
-            ModelStep::Move(vm, pool, readers, evicts) => self.move_vm(vm, pool, readers, evicts),
+            ModelStep::Move(vm, pool, reader_mask, evicts_others) => {
+                self.move_vm(vm, pool, reader_mask, evicts_others)
+            }
             ModelStep::Replace(vm, pool) => {
                 self.steward_acts(&[ActKind::Lost, ActKind::Release, ActKind::Assign], vm, pool);
             }
@@ -350,13 +352,13 @@
         }
     }
 
-    fn move_vm(&mut self, vm: u8, pool: u8, readers: u8, evicts: bool) {
+    fn move_vm(&mut self, vm: u8, pool: u8, reader_mask: u8, evicts_others: bool) {
         self.steward_acts(&[ActKind::DrainMove], vm, pool);
         for entry in 0..ENTRIES {
-            if readers & (1 << entry) != 0 {
+            if reader_mask & (1 << entry) != 0 {
                 self.read(&entry_name(entry));
                 self.confirm(entry, vm);
-            } else if evicts {
+            } else if evicts_others {
                 self.steward_acts(&[ActKind::Evict], vm, entry);
             }
         }
@@ -386,9 +388,11 @@
         let vm = vm_name(vm);
         let entry = self.entries.get_mut(name).expect("entries are fixed");
         let known = entry.view.vm(&vm);
-        let may = entry.view.roster.contains_key(name) && known.phase == VmPhase::Serving;
+        let may_send = entry.view.roster.contains_key(name) && known.phase == VmPhase::Serving;
         let truth = &self.vms[&vm];
-        let Some(pool) = known.pool.filter(|_| may && known.boot == truth.boot) else { return };
+        let Some(pool) = known.pool.filter(|_| may_send && known.boot == truth.boot) else {
+            return;
+        };
         assert!(
             truth.pool.as_ref().is_none_or(|owner| *owner == pool),
             "{name} sent a request of {pool} to {vm}, which belongs to {:?}",
@@ -404,12 +408,12 @@
         for (offset, record) in (0..).zip(&self.log[..through]) {
             prefix.apply(offset, record);
         }
-        let mut newcomer = FleetState::default();
-        newcomer.adopt(&prefix);
+        let mut reader = FleetState::default();
+        reader.adopt(&prefix);
         for (offset, record) in (0..).zip(&self.log) {
-            newcomer.apply(offset, record);
+            reader.apply(offset, record);
         }
-        assert_eq!(newcomer, self.fold, "a newcomer folds to another state");
+        assert_eq!(reader, self.fold, "a new reader reaches another state");
     }
 }
 
@@ -421,7 +425,7 @@
     VmName::from(format!("vm{}", vm % VMS).as_str())
 }
 
-fn holds(steps: Vec<ModelStep>) -> TestResult {
+fn check_steps(steps: Vec<ModelStep>) -> TestResult {
     let mut model = FleetModel::new();
     // Every entry starts on the roster and the first is steward, so that few steps are wasted.
     for entry in 0..ENTRIES {
@@ -444,6 +448,6 @@
         QuickCheck::new()
             .rng(generator)
             .tests(4_000)
-            .quickcheck(holds as fn(Vec<ModelStep>) -> TestResult);
+            .quickcheck(check_steps as fn(Vec<ModelStep>) -> TestResult);
     });
 }
--- a/tests/fold_rules.rs
+++ b/tests/fold_rules.rs
@@ -43,8 +43,8 @@
 
     fn drain(&mut self) -> u64 {
         let reason = DrainReason::Wave(WaveName::from("w"));
-        let verdict = self.act(StewardAct::Drain { vm: vm(), reason, limit_ms: 10 });
-        assert_eq!(verdict, FleetOutcome::Accepted);
+        let outcome = self.act(StewardAct::Drain { vm: vm(), reason, limit_ms: 10 });
+        assert_eq!(outcome, FleetOutcome::Accepted);
         self.state.through - 1
     }
 
@@ -145,11 +145,11 @@
         QuickCheck::new()
             .rng(Gen::from_size_and_seed(60, seed))
             .tests(60)
-            .quickcheck(races_hold as fn(Vec<(u8, u8)>) -> TestResult);
+            .quickcheck(check_races as fn(Vec<(u8, u8)>) -> TestResult);
     });
 }
 
-fn races_hold(draws: Vec<(u8, u8)>) -> TestResult {
+fn check_races(draws: Vec<(u8, u8)>) -> TestResult {
     static DOCUMENT: LazyLock<IntentDocument> = LazyLock::new(sample);
     let mut state = IntentState::default();
     let mut log: Vec<IntentRecord> = Vec::new();
@@ -166,12 +166,15 @@
             _ => publish(id, bases[operator], &DOCUMENT),
         };
         let (offset, before) = (log.len() as u64, state.revision());
-        let was_judged = state.outcome(&record.id);
+        let earlier_outcome = state.outcome(&record.id);
         state.apply(offset, &record);
         log.push(record.clone());
-        let verdict = state.outcome(&record.id).expect("a folded publish has its verdict");
-        assert!(was_judged.is_none_or(|was| was == verdict), "a copy changed the verdict");
-        if was_judged.is_none() && matches!(verdict, PublishOutcome::Accepted { .. }) {
+        let outcome = state.outcome(&record.id).expect("an applied publish has an outcome");
+        assert!(
+            earlier_outcome.is_none_or(|earlier| earlier == outcome),
+            "a duplicate changed the outcome"
+        );
+        if earlier_outcome.is_none() && matches!(outcome, PublishOutcome::Accepted { .. }) {
             let IntentBody::Publish { base, .. } = &record.body else { continue };
             *winners.entry(*base).or_default() += 1;
         }
@@ -182,11 +185,11 @@
     for (offset, record) in (0..).zip(&log[..log.len() / 2]) {
         prefix.apply(offset, record);
     }
-    let mut newcomer = IntentState::default();
-    newcomer.adopt(&prefix);
+    let mut reader = IntentState::default();
+    reader.adopt(&prefix);
     for (offset, record) in (0..).zip(&log) {
-        newcomer.apply(offset, record);
+        reader.apply(offset, record);
     }
-    assert_eq!(newcomer, state, "a newcomer folds to another state");
+    assert_eq!(reader, state, "a new reader reaches another state");
     TestResult::passed()
 }
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -46,7 +46,7 @@
 /// The worker's one slot is taken. Requests wait, and a busy worker turns one away that had its turn:
 /// it goes before those that came after it. At the end of the queue it would be refused late.
 #[tokio::test(start_paused = true)]
-async fn urgent_work_goes_first_and_one_that_was_turned_away_keeps_its_turn() {
+async fn urgent_requests_go_first_and_a_rejected_one_keeps_its_turn() {
     let gate = gate();
     let taken = gate.enter(request(WorkClass::Quick, false), 8).await.expect("a free slot");
     let (sender, mut order) = tokio::sync::mpsc::unbounded_channel();
@@ -76,7 +76,7 @@
 
 /// A queue that is full refuses newcomers at once, but not one that had its place before.
 #[tokio::test(start_paused = true)]
-async fn a_full_queue_refuses_newcomers_only() {
+async fn a_full_queue_refuses_only_new_requests() {
     let gate = gate();
     let _taken = gate.enter(request(WorkClass::Quick, false), 0).await.expect("a free slot");
     let refused = gate.enter(request(WorkClass::Quick, false), 0).await;
--- a/tests/key_model.rs
+++ b/tests/key_model.rs
@@ -80,11 +80,11 @@
 struct ModelEntry {
     name: EntryName,
     view: FleetState,
-    book: KeyOwnership,
+    ownership: KeyOwnership,
     table: KeyTable,
     lease: RosterLease,
     pending: Vec<Uuid>,
-    handed: HashMap<EntryName, u64>,
+    handed_over_at: HashMap<EntryName, u64>,
 }
 
 struct KeyModel {
@@ -94,7 +94,7 @@
     keys: Vec<RequestKey>,
     runs: BTreeMap<Uuid, u32>,
     now_ms: u64,
-    born: u32,
+    entries_created: u32,
 }
 
 impl KeyModel {
@@ -106,7 +106,7 @@
             keys: Vec::new(),
             runs: BTreeMap::new(),
             now_ms: 10_000_000,
-            born: 0,
+            entries_created: 0,
         };
         for _ in 0..ENTRIES {
             let entry = model.new_entry();
@@ -116,17 +116,17 @@
     }
 
     fn new_entry(&mut self) -> ModelEntry {
-        self.born += 1;
-        let name = EntryName::from(format!("e{}", self.born).as_str());
+        self.entries_created += 1;
+        let name = EntryName::from(format!("e{}", self.entries_created).as_str());
         let limits = KeyLimits { window_ms: 1_000_000, skew_ms: 20, keys_max: 10_000 };
         ModelEntry {
-            book: KeyOwnership::new(name.clone(), TIMES),
+            ownership: KeyOwnership::new(name.clone(), TIMES),
             name,
             view: FleetState::default(),
             table: KeyTable::new(limits),
             lease: RosterLease::default(),
             pending: Vec::new(),
-            handed: HashMap::new(),
+            handed_over_at: HashMap::new(),
         }
     }
 
@@ -176,7 +176,7 @@
         for (offset, record) in (0..).zip(&self.log) {
             entry.view.apply(offset, record);
         }
-        entry.book.adopt(&entry.view.roster_view(), now);
+        entry.ownership.adopt(&entry.view.roster_view(), now);
         if entry.view.roster.contains_key(&entry.name) {
             entry.lease.confirm_by_log(now);
         }
@@ -188,9 +188,9 @@
         }
         let now = self.moment();
         let (asker_name, asker_epoch) =
-            (self.entries[asker].name.clone(), self.entries[asker].book.epoch());
+            (self.entries[asker].name.clone(), self.entries[asker].ownership.epoch());
         let (other_name, other_epoch) =
-            (self.entries[other].name.clone(), self.entries[other].book.epoch());
+            (self.entries[other].name.clone(), self.entries[other].ownership.epoch());
         self.hear(other, &asker_name, asker_epoch);
         self.hear(asker, &other_name, other_epoch);
         let knows_no_newer =
@@ -204,39 +204,41 @@
         let entry = &mut self.entries[entry];
         let joined = entry.view.roster.get(&entry.name).map(|me| me.joined);
         if epoch.zip(joined).is_some_and(|(epoch, joined)| epoch >= joined) {
-            entry.book.mark_aware(from);
+            entry.ownership.mark_aware(from);
         }
     }
 
     fn hand_over(&mut self, entry: usize, last: bool) {
         let now = self.moment();
         let me = &self.entries[entry];
-        let Some(epoch) = me.book.epoch() else { return };
-        if !last && !me.book.may_hand_over(now.steady) {
+        let Some(epoch) = me.ownership.epoch() else { return };
+        if !last && !me.ownership.may_hand_over(now.steady) {
             return;
         }
-        let (from, floor_ms) = (me.name.clone(), me.book.floor_ms(now.steady));
-        let retired = me.book.retired(now.steady);
+        let (from, floor_ms) = (me.name.clone(), me.ownership.floor_ms(now.steady));
+        let retired = me.ownership.retired(now.steady);
         let mut records = me.table.select(|_| true);
         for record in &mut records {
             if record.outcome == KeyOutcome::Running {
                 record.outcome = KeyOutcome::Unknown;
             }
         }
-        let others: Vec<EntryName> = me.book.others().cloned().collect();
+        let others: Vec<EntryName> = me.ownership.others().cloned().collect();
         for other in others {
-            let done = self.entries[entry].handed.get(&other) == Some(&epoch);
+            let done = self.entries[entry].handed_over_at.get(&other) == Some(&epoch);
             let peer = self.entries.iter_mut().find(|peer| peer.name == other);
-            let Some(peer) = peer.filter(|peer| peer.book.epoch() >= Some(epoch)) else { continue };
+            let Some(peer) = peer.filter(|peer| peer.ownership.epoch() >= Some(epoch)) else {
+                continue;
+            };
             if done && !last {
                 continue;
             }
             for record in &records {
                 peer.table.take_over(record.clone());
             }
-            let handed = HandOverNotice { from: &from, floor_ms, retired: &retired, last };
-            peer.book.record_hand_over(&handed);
-            self.entries[entry].handed.insert(other, epoch);
+            let notice = HandOverNotice { from: &from, floor_ms, retired: &retired, last };
+            peer.ownership.record_hand_over(&notice);
+            self.entries[entry].handed_over_at.insert(other, epoch);
         }
     }
 
@@ -290,8 +292,10 @@
     fn right(&self, entry: usize, key: &Uuid) -> KeyRight {
         let now = self.moment();
         let entry = &self.entries[entry];
-        match entry.book.right(key.as_bytes(), now.steady) {
-            KeyRight::Own { .. } if !entry.lease.is_fresh(entry.book.others(), &TIMES, now) => {
+        match entry.ownership.right(key.as_bytes(), now.steady) {
+            KeyRight::Own { .. }
+                if !entry.lease.is_fresh(entry.ownership.others(), &TIMES, now) =>
+            {
                 KeyRight::Wait
             }
             right => right,
@@ -321,7 +325,7 @@
     }
 }
 
-fn holds(steps: Vec<ModelStep>) -> TestResult {
+fn check_steps(steps: Vec<ModelStep>) -> TestResult {
     let mut model = KeyModel::new();
     for entry in 0..3 {
         model.step(ModelStep::Join(entry));
@@ -360,6 +364,6 @@
         QuickCheck::new()
             .rng(Gen::from_size_and_seed(300, seed))
             .tests(6_000)
-            .quickcheck(holds as fn(Vec<ModelStep>) -> TestResult);
+            .quickcheck(check_steps as fn(Vec<ModelStep>) -> TestResult);
     });
 }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -34,7 +34,7 @@
 
 /// The leader dies. Others claim after a silence in which three renewals fit, not earlier.
 #[test]
-fn a_claim_waits_for_the_silence() {
+fn a_claim_waits_for_the_renewal_timeout() {
     let view = led_by_a();
     let b = holder("b", 2);
     assert_eq!(view.claim_in_ms(&b, false, 1_000), Some(RENEWAL_TIMEOUT_MS));
@@ -45,7 +45,7 @@
 /// The log is away for seconds, for everybody. When it is back the leader is given the time to renew:
 /// the silence was the log's, not its own.
 #[test]
-fn silence_does_not_count_while_the_log_is_away() {
+fn the_renewal_timeout_does_not_run_while_the_log_is_unreachable() {
     let mut view = led_by_a();
     let b = holder("b", 2);
     view.record_read_failure();
@@ -57,7 +57,7 @@
 /// Everything lost power. The process that led before is started again: nobody can lead in its place,
 /// and callers should not wait for a silence to pass.
 #[test]
-fn a_process_claims_at_once_after_its_own_earlier_life() {
+fn a_restarted_holder_claims_at_once() {
     let view = led_by_a();
     assert_eq!(view.claim_in_ms(&holder("a", 2), false, 1_000), Some(0));
     assert_eq!(view.claim_in_ms(&holder("a", 1), false, 1_000), Some(RENEWAL_TIMEOUT_MS));
@@ -66,7 +66,7 @@
 /// The leader's process was killed, and an entry that relayed a caller's job found its address
 /// closed. One renewal that is under way is still waited for.
 #[test]
-fn a_closed_address_shortens_the_silence() {
+fn a_closed_address_shortens_the_renewal_timeout() {
     let view = led_by_a();
     let b = holder("b", 2);
     assert_eq!(view.claim_in_ms(&b, true, 1_000), Some(CLOSED_RENEWAL_TIMEOUT_MS));
@@ -110,7 +110,7 @@
 /// resignation, or the end of its own earlier process, says that none will follow; a silence says
 /// nothing, and a leader that was never seen leaves nothing to wait for.
 #[test]
-fn only_a_resignation_or_a_restart_shows_that_the_leader_before_has_ended() {
+fn only_a_resignation_or_a_restart_proves_that_the_previous_leader_has_ended() {
     let view = led_by_a();
     let seen = |end| Some(PreviousLeader { seen_ms: 1_000, end });
     assert_eq!(view.predecessor(&holder("b", 2)), seen(PredecessorEnd::Unknown));
@@ -119,6 +119,6 @@
 
     let mut resigned = led_by_a();
     resigned.apply(5, &record(LeadershipAct::Resign, "a", 1), 2_000);
-    let trace = PreviousLeader { seen_ms: 2_000, end: PredecessorEnd::Resigned };
-    assert_eq!(resigned.predecessor(&holder("b", 2)), Some(trace));
+    let previous = PreviousLeader { seen_ms: 2_000, end: PredecessorEnd::Resigned };
+    assert_eq!(resigned.predecessor(&holder("b", 2)), Some(previous));
 }
--- a/tests/revocation_model.rs
+++ b/tests/revocation_model.rs
@@ -27,24 +27,24 @@
 enum Without {
     Nothing,
     /// Readings count from when their answer comes.
-    StartOfReading,
+    StartOfRead,
     /// A restarted process counts its pages of the newest records as a reading, from the last one.
     Restart,
     /// The key is looked at when the head has come, and not again when the body has.
-    SecondLook,
+    SecondCheck,
     /// Another entry's age counts from when its answer comes.
-    StartOfQuestion,
+    StartOfQuery,
 }
 
 /// What an entry has under way.
 #[derive(Clone, Copy, Debug)]
-enum Reading {
+enum PendingRead {
     /// A reading of the log: what it shows, and when its answer comes.
     Log { began: u64, is_revoked: bool },
     /// Pages of the newest records: whether the one with the configuration had the revocation, when the last began.
     Pages { last_began: u64, is_revoked: bool },
     /// A question to another entry: when it was sent, and what was answered.
-    Question { sent: u64, told: Option<(u64, bool)> },
+    Query { sent: u64, answer: Option<(u64, bool)> },
 }
 
 /// An entry; its times are its own clock's.
@@ -54,10 +54,10 @@
     rate: u64,
     /// It stands still until then, by true time.
     paused_until: u64,
-    shown: Option<u64>,
+    confirmed: Option<u64>,
     /// Whether the configuration in force lacks the key.
     is_revoked: bool,
-    reading: Option<(u64, Reading)>,
+    pending: Option<(u64, PendingRead)>,
     is_restarting: bool,
     /// A request whose head was let in, and when its last byte is sent.
     request: Option<u64>,
@@ -69,7 +69,7 @@
     }
 
     fn may_honour(&self, now: u64) -> bool {
-        !self.is_revoked && RULE.may_honour(self.shown, self.clock(now))
+        !self.is_revoked && RULE.may_honour(self.confirmed, self.clock(now))
     }
 }
 
@@ -79,7 +79,7 @@
     entries: Vec<Entry>,
     revoked_at: u64,
     /// A request that was served too late.
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 impl Model {
@@ -88,26 +88,26 @@
         let entries = (0..ENTRIES).map(|_| Entry {
             rate: random.random_range(980..=1_020),
             paused_until: 0,
-            shown: None,
+            confirmed: None,
             is_revoked: false,
-            reading: None,
+            pending: None,
             is_restarting: true,
             request: None,
         });
         let entries = entries.collect();
         let revoked_at = random.random_range(5_000..25_000);
-        Model { random, without, entries, revoked_at, broken: None }
+        Model { random, without, entries, revoked_at, violation: None }
     }
 
     fn run(mut self) -> Option<String> {
         let mut now = 0;
-        while now < LENGTH_MS && self.broken.is_none() {
+        while now < LENGTH_MS && self.violation.is_none() {
             now += self.random.random_range(1..60);
             for position in 0..ENTRIES {
                 self.step(position, now);
             }
         }
-        self.broken
+        self.violation
     }
 
     fn step(&mut self, position: usize, now: u64) {
@@ -122,8 +122,8 @@
         if now < self.entries[position].paused_until {
             return;
         }
-        match self.entries[position].reading {
-            Some((due, reading)) if now >= due => self.take(position, reading, now),
+        match self.entries[position].pending {
+            Some((due, pending)) if now >= due => self.complete(position, pending, now),
             Some(_) => {}
             None => self.begin(position, now),
         }
@@ -133,7 +133,7 @@
     /// A process that starts anew knows the configuration only from what it reads.
     fn restart(&mut self, position: usize) {
         let entry = &mut self.entries[position];
-        (entry.shown, entry.reading, entry.request) = (None, None, None);
+        (entry.confirmed, entry.pending, entry.request) = (None, None, None);
         entry.is_revoked = false;
         entry.is_restarting = true;
     }
@@ -143,30 +143,30 @@
         let (to_log, back) = (self.delay(), self.delay());
         let evaluated = now + to_log;
         let clock = self.entries[position].clock(now);
-        let reading = if self.entries[position].is_restarting {
+        let pending = if self.entries[position].is_restarting {
             let pages = self.random.random_range(0..6_000);
             let is_revoked = evaluated >= self.revoked_at;
             let last_began = self.entries[position].clock(now + pages);
-            (now + pages + back, Reading::Pages { last_began, is_revoked })
+            (now + pages + back, PendingRead::Pages { last_began, is_revoked })
         } else if self.random.random_range(0..3) == 0 {
-            self.ask(position, now, evaluated, back)
+            self.query(position, now, evaluated, back)
         } else {
             let is_revoked = evaluated >= self.revoked_at;
-            (evaluated + back, Reading::Log { began: clock, is_revoked })
+            (evaluated + back, PendingRead::Log { began: clock, is_revoked })
         };
-        self.entries[position].reading = Some(reading);
+        self.entries[position].pending = Some(pending);
     }
 
     /// Another entry answers by what it has shown when the question reaches it.
-    fn ask(&mut self, position: usize, now: u64, reached: u64, back: u64) -> (u64, Reading) {
+    fn query(&mut self, position: usize, now: u64, reached: u64, back: u64) -> (u64, PendingRead) {
         let other = (position + self.random.random_range(1..ENTRIES)) % ENTRIES;
         let other = &self.entries[other];
         let is_there = reached >= other.paused_until && !other.is_restarting;
         let clock = other.clock(reached);
         // What it has shown by now is no newer than what it will have shown when the question comes.
-        let told = other.shown.filter(|_| is_there);
-        let told = told.map(|shown| (clock.saturating_sub(shown), other.is_revoked));
-        (reached + back, Reading::Question { sent: self.entries[position].clock(now), told })
+        let answer = other.confirmed.filter(|_| is_there);
+        let answer = answer.map(|confirmed| (clock.saturating_sub(confirmed), other.is_revoked));
+        (reached + back, PendingRead::Query { sent: self.entries[position].clock(now), answer })
     }
 
     fn delay(&mut self) -> u64 {
@@ -177,29 +177,29 @@
         }
     }
 
-    fn take(&mut self, position: usize, reading: Reading, now: u64) {
+    fn complete(&mut self, position: usize, pending: PendingRead, now: u64) {
         let without = self.without;
         let entry = &mut self.entries[position];
-        entry.reading = None;
+        entry.pending = None;
         let answered = entry.clock(now);
-        let (shown, is_revoked) = match reading {
-            Reading::Log { began, is_revoked } => {
-                let shown = if without == Without::StartOfReading { answered } else { began };
-                (Some(shown), is_revoked)
+        let (confirmed, is_revoked) = match pending {
+            PendingRead::Log { began, is_revoked } => {
+                let confirmed = if without == Without::StartOfRead { answered } else { began };
+                (Some(confirmed), is_revoked)
             }
-            Reading::Pages { last_began, is_revoked } => {
+            PendingRead::Pages { last_began, is_revoked } => {
                 entry.is_restarting = false;
                 ((without == Without::Restart).then_some(last_began), is_revoked)
             }
-            Reading::Question { sent, told } => {
-                let Some((age, is_revoked)) = told else { return };
-                let from = if without == Without::StartOfQuestion { answered } else { sent };
+            PendingRead::Query { sent, answer } => {
+                let Some((age, is_revoked)) = answer else { return };
+                let from = if without == Without::StartOfQuery { answered } else { sent };
                 (from.checked_sub(age), is_revoked)
             }
         };
         // The configuration first, and never back to an older one.
         entry.is_revoked |= is_revoked;
-        entry.shown = entry.shown.max(shown);
+        entry.confirmed = entry.confirmed.max(confirmed);
     }
 
     /// A caller with the key sends a request: its head, and after a while its last byte.
@@ -215,10 +215,10 @@
             return;
         }
         entry.request = None;
-        let is_served = self.without == Without::SecondLook || may_honour;
+        let is_served = self.without == Without::SecondCheck || may_honour;
         if is_served && sent > self.revoked_at + RULE.bound_ms {
             let late = sent - self.revoked_at;
-            self.broken = Some(format!("served {late} ms after the revocation: {entry:?}"));
+            self.violation = Some(format!("served {late} ms after the revocation: {entry:?}"));
         }
     }
 }
@@ -228,22 +228,22 @@
 }
 
 /// The first of so many histories that breaks the rule.
-fn broken(without: Without, runs: u64) -> Option<(u64, String)> {
+fn violation(without: Without, runs: u64) -> Option<(u64, String)> {
     let first = number("IBISWEIR_TEST_SEED", 1);
     let mut seeds = first..first + number("IBISWEIR_TEST_RUNS", runs);
     seeds.find_map(|seed| Some((seed, Model::open(seed, without).run()?)))
 }
 
 #[test]
-fn no_entry_serves_a_key_for_longer_than_the_bound_after_it_was_taken_away() {
-    assert_eq!(broken(Without::Nothing, RUNS), None);
+fn no_entry_serves_a_key_for_longer_than_the_bound_after_its_revocation() {
+    assert_eq!(violation(Without::Nothing, RUNS), None);
 }
 
 #[test]
 fn each_part_of_the_rule_is_needed() {
     let parts =
-        [Without::StartOfReading, Without::Restart, Without::SecondLook, Without::StartOfQuestion];
+        [Without::StartOfRead, Without::Restart, Without::SecondCheck, Without::StartOfQuery];
     let found: HashSet<Without> =
-        parts.into_iter().filter(|part| broken(*part, RUNS_WITHOUT).is_some()).collect();
+        parts.into_iter().filter(|part| violation(*part, RUNS_WITHOUT).is_some()).collect();
     assert_eq!(found, HashSet::from(parts), "the model does not see a fault");
 }
--- a/tests/waves.rs
+++ b/tests/waves.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_wave_reaches_every_vm_and_never_has_more_out_than_are_spare() {
+fn a_wave_reaches_every_vm_and_takes_out_no_more_than_are_spare() {
     for spare in 1..=3 {
         let mut fleet = Fleet::open(&shape(spare));
         fleet.wave("w");
@@ -208,7 +208,7 @@
 
 /// A VM leaves the document and the pool shrinks by it: that VM goes, not another one of the pool.
 #[test]
-fn a_vm_that_leaves_the_document_is_the_one_that_is_drained() {
+fn a_vm_that_is_removed_from_the_document_is_drained_first() {
     let mut fleet = Fleet::open(&shape(2));
     let gone = VmName::from("dc-a-w3");
     fleet.document.vms.retain(|vm| vm.name != gone);
