--- a/tests/append_limit.rs
+++ b/tests/append_limit.rs
@@ -1,18 +1,18 @@
-//! How much an append takes in by what the link has carried.
+//! The size limit of an append adapts to what the link has carried.
 
 use std::time::Duration;
 
 use ibisweir::decide::append_limit::{APPEND_BYTES_MAX, APPEND_BYTES_MIN, AppendLimit, SentBody};
 
-/// Time of the log itself.
+/// Response time of the log itself.
 const LOG_TIME: Duration = Duration::from_millis(4);
 
-/// An append that was answered after `after`, all of which stood in a buffer at once.
+/// An append that was answered after `after` and fitted into a buffer as a whole.
 fn answered(bytes: usize, after: Duration) -> SentBody {
     SentBody { bytes, took: Duration::ZERO, answered: Some(after) }
 }
 
-/// Sends full appends over a link of so many bytes a millisecond; the last room.
+/// Sends full appends over a link of `rate` bytes per millisecond, and returns the resulting limit.
 fn settle(limit: &mut AppendLimit, rate: usize, appends: usize) -> usize {
     for _ in 0..appends {
         let bytes = limit.bytes();
@@ -23,7 +23,7 @@
     limit.bytes()
 }
 
-/// Guards against starts that wait seconds behind one append on a narrow link.
+/// Guards against starts that wait for seconds behind one append on a narrow link.
 #[test]
 fn the_limit_follows_what_the_link_carries_in_a_short_time() {
     for rate in [100, 250, 1_250, 25_000] {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Guards against an append that stays large for many tries on a link that has become narrow.
+/// Guards against appends that stay large for many attempts after a link has become narrow.
 #[test]
 fn one_slow_append_lowers_the_limit_on_a_link_that_has_become_narrow() {
     let mut limit = AppendLimit::default();
@@ -42,7 +42,7 @@
     assert!(settle(&mut limit, 250, 1) <= 50_000);
 }
 
-/// Guards against appends that stay small once a link carries much again.
+/// Guards against appends that stay small after a link has become wide again.
 #[test]
 fn the_limit_grows_again_with_the_link() {
     let mut limit = AppendLimit::default();
@@ -51,7 +51,8 @@
     assert_eq!(settle(&mut limit, 25_000, 10), APPEND_BYTES_MAX);
 }
 
-/// Guards against a slow log that is taken for a narrow link: the more appends, the longer all wait.
+/// Guards against mistaking a slow log for a narrow link: smaller appends mean more appends, and
+/// longer waits for all.
 #[test]
 fn a_slow_log_does_not_lower_the_limit() {
     let mut limit = AppendLimit::default();
@@ -63,7 +64,7 @@
     assert_eq!(limit.bytes(), APPEND_BYTES_MAX);
 }
 
-/// Guards against appends without end on a link that takes nothing, each as large as the one before.
+/// Guards against endless appends of the same size on a link that carries nothing.
 #[test]
 fn a_full_append_without_an_answer_halves_the_limit() {
     let mut limit = AppendLimit::default();
@@ -72,7 +73,8 @@
     assert_eq!(limit.bytes(), before / 2);
 }
 
-/// Guards against small appends on a wide link, as small ones tell nothing of it, and no connection at all even less.
+/// Guards against small appends on a wide link: a small append says little about the link, and a
+/// missing connection even less.
 #[test]
 fn a_small_append_does_not_change_the_limit() {
     let mut limit = AppendLimit::default();
@@ -83,7 +85,8 @@
     assert_eq!(limit.bytes(), before);
 }
 
-/// Guards against an append that is given the same short time again and again, though no try of it gets through.
+/// Guards against an append that is retried with the same short timeout forever although no attempt
+/// gets through.
 #[test]
 fn the_timeout_grows_with_each_lost_append() {
     let mut limit = AppendLimit::default();
--- a/tests/executor_table.rs
+++ b/tests/executor_table.rs
@@ -1,4 +1,4 @@
-//! Which entry carries out a start.
+//! Choice of the entry that carries out a start.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,8 @@
     }
 }
 
-/// A batch takes an entry on an eighth of a core a tenth of a second. One on half a core gets four before that.
+/// A batch takes a tenth of a second on an entry with an eighth of a core. One with half a core
+/// gets four batches first.
 #[test]
 fn the_entry_that_will_finish_first_is_chosen() {
     let mut table = ExecutorTable::default();
@@ -37,7 +38,8 @@
     assert_eq!(table.pick("a", 1_000), Some(address(1)));
 }
 
-/// A worker's start goes to an entry of its own data centre, and to another one only if none there has room.
+/// A worker's start goes to an entry in its own data centre, and to another one only if none there
+/// has capacity.
 #[test]
 fn an_entry_in_the_workers_data_centre_is_preferred() {
     let mut table = ExecutorTable::default();
@@ -48,7 +50,8 @@
     assert_eq!(table.pick("b", 1_000), Some(address(1)));
 }
 
-/// A slow entry keeps its starts under way, and gets fewer: the next go to the one that has answered.
+/// A slow entry keeps its starts in flight and gets fewer: the next ones go to the entry that has
+/// answered.
 #[test]
 fn a_slow_entry_gets_fewer_starts() {
     let mut table = ExecutorTable::default();
@@ -66,8 +69,8 @@
     assert!(counts[1] >= 15, "{counts:?}");
 }
 
-/// An entry that lost power offers itself no more, and its last batch had no answer. Starts must not wait for it:
-/// it is passed over at once, and forgotten once its last offer is old.
+/// An entry that lost power sends no more offers and leaves its last batch unanswered. Starts must
+/// not wait for it: it is excluded at once, and forgotten when its last offer has expired.
 #[test]
 fn an_entry_that_does_not_answer_is_excluded() {
     let mut table = ExecutorTable::default();
@@ -76,14 +79,14 @@
     table.end_batch(address(1), 4, false, 2_000);
     assert_eq!(table.pick("a", 2_000), None);
     assert!(!table.has_capacity(2_000));
-    // Another life of it offers itself and is taken at once.
+    // The next incarnation sends an offer and is chosen at once.
     table.record_offer(ExecutorOffer { incarnation: 8, ..offer(1, "a") }, 2_100);
     assert_eq!(table.pick("a", 2_100), Some(address(1)));
     assert_eq!(table.pick("a", 9_000), None, "its last offer is old");
 }
 
-/// An executor tells by its own clock how old a batch is: the leader adds to the clock that the offer showed the
-/// time since.
+/// An executor determines the age of a batch by its own clock: the leader adds the time since the
+/// offer to the clock that the offer showed.
 #[test]
 fn a_batch_is_stamped_with_the_executors_own_clock() {
     let mut table = ExecutorTable::default();
@@ -92,7 +95,8 @@
     assert_eq!((stamp.incarnation, stamp.sent_ms), (7, 50_700));
 }
 
-/// A budget of 1 Mbit/s lets 125 KB a second through, also where each single send is larger than what is left.
+/// A budget of 1 Mbit/s allows 125 KB per second, even if each single send is larger than what is
+/// left.
 #[test]
 fn a_byte_budget_bounds_the_rate_over_time() {
     let mut budget = ByteBudget::with_rate(1);
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -1,9 +1,10 @@
-//! The fold of a fleet stream against an oracle, through any order of failures.
+//! Model test of the fleet state against an oracle, under any order of failures.
 //!
-//! Entries, stewards and a platform are drawn steps over the real fold: appends whose answer is lost,
-//! copies, late appends of a paused steward, evictions of entries that are only cut off, workers
-//! that restart. The oracle knows nothing of terms or rosters: it watches where an entry that goes on
-//! by what it last read could still send, and what the VM at the other end would make of it.
+//! Random steps of entries, stewards and the platform drive the real fleet state: appends whose
+//! answer is lost, duplicates, late appends of a paused steward, evictions of entries that are only
+//! partitioned, workers that restart. The oracle knows neither terms nor rosters. It tracks where
+//! an entry could still send by the state that it last read, and what the VM would do with the
+//! request.
 
 mod support;
 
@@ -23,43 +24,44 @@
 /// Longest time limit of a request, in the model's milliseconds.
 const LIMIT_MS: u64 = 100;
 
-/// One drawn step.
+/// One random step.
 #[derive(Clone, Copy, Debug)]
 enum ModelStep {
     /// An entry reads the log to its end.
     Read(u8),
-    /// An entry joins by what it has read.
+    /// An entry joins.
     Join(u8),
-    /// An entry claims the next term by what it has read.
+    /// An entry claims the next term by the state that it has read.
     Claim(u8),
-    /// An entry that thinks it is the steward acts by what it has read.
+    /// An entry acts as steward by the state that it has read.
     Act(u8, ActKind, u8, u8),
-    /// An entry confirms a drain by what it has read, having nothing in flight.
+    /// An entry without anything in flight confirms a drain by the state that it has read.
     Confirm(u8, u8),
-    /// An entry leaves, having nothing in flight.
+    /// An entry without anything in flight leaves.
     Leave(u8),
-    /// An entry sends a request by what it has read.
+    /// An entry sends a request by the state that it has read.
     Send(u8, u8),
     /// An entry's requests to a VM end.
     Finish(u8, u8),
-    /// One of the newest records is appended once more: its answer was lost, or the copy late.
+    /// One of the newest records is appended again, because its answer was lost or as a late
+    /// duplicate.
     Copy(u8),
-    /// A record is held back by its paused writer, and appended later.
+    /// A paused writer holds a record back, to be appended later.
     Hold(u8, ActKind, u8, u8),
-    /// The records held back are appended.
+    /// The held records are appended.
     Release,
-    /// A VM restarts by itself.
+    /// A VM restarts on its own.
     Restart(u8),
     /// Time passes.
     Wait(u8),
-    /// Every entry sends a request to a VM, by what it has read.
+    /// Every entry sends a request to a VM, by the state that it has read.
     SendAll(u8),
-    /// The steward takes a VM from its pool to another as far as the fold lets it, while only the
-    /// entries of a mask read on; the last flag has it evict the others.
+    /// The steward moves a VM from its pool to another as far as the fleet state allows. Only the
+    /// entries in a bit mask read on; with the last flag set, the steward evicts the others.
     Move(u8, u8, u8, bool),
-    /// The same for a VM that it takes for lost.
+    /// The same for a VM that the steward considers lost.
     Replace(u8, u8),
-    /// A newcomer starts from a restatement and the records after it.
+    /// A new reader starts from a snapshot and the records after it.
     Restore,
 }
 
@@ -119,7 +121,7 @@
     }
 }
 
-/// What a VM is in truth: the pool that the newest accepted assignment gave it, and its boot number.
+/// Actual state of a VM: the pool of its newest accepted assignment, and its boot number.
 #[derive(Clone, Debug, Default)]
 struct TrueVm {
     pool: Option<PoolName>,
@@ -127,7 +129,7 @@
     drained_ms: u64,
 }
 
-/// A request on its way.
+/// A request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ModelRequest {
     vm: VmName,
@@ -136,7 +138,7 @@
     sent_ms: u64,
 }
 
-/// An entry: what it has read, and what it has in flight.
+/// An entry: the state that it has read, and its requests in flight.
 #[derive(Clone, Debug, Default)]
 struct ModelEntry {
     view: FleetState,
@@ -150,7 +152,7 @@
     entries: BTreeMap<EntryName, ModelEntry>,
     vms: BTreeMap<VmName, TrueVm>,
     held: Vec<FleetRecord>,
-    /// The newest accepted claim.
+    /// Term and steward of the newest accepted claim.
     terms: (u64, EntryName),
     now_ms: u64,
     newest_boot: u64,
@@ -178,7 +180,7 @@
         self.log.push(record.clone());
         let outcome = self.fold.apply(offset, &record);
         if let FleetBody::Act { term, .. } = &record.body {
-            // A steward whose term was claimed by another since changes nothing.
+            // A steward whose term another entry has claimed since changes nothing.
             let is_stale = *term != self.terms.0 || record.by != self.terms.1;
             assert!(!is_stale || outcome != FleetOutcome::Accepted, "a stale act counted");
         }
@@ -187,7 +189,7 @@
         }
     }
 
-    /// The truth follows accepted records only.
+    /// Accepted records alone change the actual state.
     fn apply_to_truth(&mut self, record: &FleetRecord) {
         if matches!(record.body, FleetBody::Join { .. })
             && let Some(entry) = self.entries.get_mut(&record.by)
@@ -224,8 +226,9 @@
             StewardAct::Reboot { vm } => {
                 self.newest_boot += 1;
                 let truth = self.vms.get_mut(vm).expect("the model's VMs are fixed");
-                // A planned stop cuts nothing off that was sent before the drain. What an evicted
-                // entry sends after its eviction is the worker's own grace to finish.
+                // A planned reboot must not cut off requests that were sent before the drain. For
+                // requests that an evicted entry sends after its eviction, there is only the
+                // worker's own grace period.
                 for (name, entry) in &self.entries {
                     let cut_off = entry.in_flight.iter().find(|request| {
                         request.vm == *vm
@@ -305,7 +308,7 @@
             ModelStep::Leave(entry) => {
                 let name = entry_name(entry);
                 if self.entries[&name].in_flight.is_empty() {
-                    // It sends no more: it forgets what it has read.
+                    // It sends nothing more and forgets the state that it has read.
                     self.entries.insert(name, ModelEntry::default());
                     self.append(self.record(entry, FleetBody::Leave));
                 }
@@ -322,7 +325,7 @@
             }
             ModelStep::Wait(time) => {
                 self.now_ms += u64::from(time);
-                // Past the longest limit, no request of before is alive.
+                // Beyond the longest time limit, no earlier request is still running.
                 if u64::from(time) > LIMIT_MS {
                     self.entries.values_mut().for_each(|entry| entry.in_flight.clear());
                 }
@@ -382,8 +385,8 @@
         }
     }
 
-    /// An entry sends by what it has read, however old. The worker's boot number must be the one
-    /// that it knows, else the connection is not used; then no other pool may own the VM.
+    /// An entry sends by the state that it has read, however old. It uses the connection only if
+    /// the worker reports the boot number in that state; in that case no other pool may own the VM.
     fn send(&mut self, name: &EntryName, vm: u8) {
         let vm = vm_name(vm);
         let entry = self.entries.get_mut(name).expect("entries are fixed");
@@ -401,7 +404,8 @@
         entry.in_flight.insert(ModelRequest { vm, boot: truth.boot, pool, sent_ms: self.now_ms });
     }
 
-    /// Any prefix of the log that is restated gives the same state as the whole log.
+    /// A snapshot of any prefix of the log, plus the remaining records, gives the same state as the
+    /// whole log.
     fn restore(&self) {
         let through = self.log.len() / 2;
         let mut prefix = FleetState::default();
@@ -427,7 +431,7 @@
 
 fn check_steps(steps: Vec<ModelStep>) -> TestResult {
     let mut model = FleetModel::new();
-    // Every entry starts on the roster and the first is steward, so that few steps are wasted.
+    // All entries start on the roster and the first is steward, so that few steps are wasted.
     for entry in 0..ENTRIES {
         model.step(ModelStep::Join(entry));
     }
--- a/tests/fold_rules.rs
+++ b/tests/fold_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of the folds that one sequence each shows.
+//! Rules for applying records of the fleet and intent streams, each shown by one sequence.
 
 mod support;
 
@@ -21,7 +21,7 @@
 }
 
 impl Stream {
-    /// Two entries, the first is steward of term 1, and a VM that serves pool `a` with boot 1.
+    /// Two entries, the first being steward of term 1, and a VM that serves pool `a` with boot 1.
     fn open() -> Self {
         let mut stream = Stream { state: FleetState::default() };
         stream.write("e1", FleetBody::Join { peer: "127.0.0.1:1".to_owned() });
@@ -57,8 +57,8 @@
     VmName::from("vm")
 }
 
-/// An entry confirms a drain, its answer is lost, and the copy of the confirmation arrives when the
-/// VM is being drained again. Counted, it would let the VM reboot under the entry's new requests.
+/// An entry confirms a drain, the answer is lost, and the copy of the confirmation arrives during
+/// the next drain of the VM. If it counted, the VM could reboot under the entry's new requests.
 #[test]
 fn a_late_confirmation_of_an_earlier_drain_does_not_count() {
     let mut stream = Stream::open();
@@ -75,8 +75,8 @@
     assert_eq!(stream.act(StewardAct::Reboot { vm: vm() }), FleetOutcome::Accepted);
 }
 
-/// An entry that was evicted wakes up and claims the next term before it has read its eviction. It
-/// would plan with a view in which it still is an entry.
+/// An evicted entry resumes and claims the next term before it has read its eviction. It would plan
+/// on a state in which it is still on the roster.
 #[test]
 fn only_an_entry_of_the_roster_becomes_steward() {
     let mut stream = Stream::open();
@@ -85,8 +85,8 @@
     assert_eq!(stream.state.steward, Some(EntryName::from("e1")));
 }
 
-/// The platform has taken a reboot order and the worker still answers with its old boot number. Were
-/// the VM to return by it, callers' requests would be cut off when it does go down.
+/// The platform has accepted a reboot, and the worker still answers with its old boot number. If
+/// the VM returned now, callers' requests would be cut off when it does go down.
 #[test]
 fn a_vm_returns_from_a_wave_only_with_a_new_boot_number() {
     let mut stream = Stream::open();
@@ -100,7 +100,7 @@
     assert_eq!((state.phase, state.waves), (VmPhase::Serving, vec![WaveName::from("w")]));
 }
 
-/// More entries than lanes would take a worker's connections past its bound.
+/// More entries than lanes would exceed a worker's connection limit.
 #[test]
 fn an_entry_without_a_lane_does_not_join() {
     let mut stream = Stream::open();
@@ -113,7 +113,7 @@
     stream.write("e2", FleetBody::Leave);
     let body = FleetBody::Join { peer: "127.0.0.1:3".to_owned() };
     assert_eq!(stream.write("e99", body), FleetOutcome::Accepted);
-    // The lane of an entry that was evicted may still be in use.
+    // The lane of an evicted entry may still be in use.
     stream.act(StewardAct::Evict { entry: EntryName::from("e99") });
     let body = FleetBody::Join { peer: "127.0.0.1:3".to_owned() };
     assert_eq!(stream.write("e100", body), FleetOutcome::Refused);
@@ -137,8 +137,9 @@
     fleet.document(|vm| ([127, 0, 0, 1], ports[vm]).into())
 }
 
-/// Two operators and a platform that loses answers, holds records back and copies them: each base
-/// gets one winner, no revision reverts, and a newcomer that starts from a restatement agrees.
+/// Two operators publish while the platform loses, delays and duplicates appends: each base gets
+/// one winner, no revision is reverted, and a reader that starts from a snapshot reaches the same
+/// state.
 #[test]
 fn racing_publishes_have_one_winner_a_base() {
     seeded(0x1A7E, |seed| {
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Who gets a place at a worker next.
+//! Order in which requests get a slot of a worker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,8 +43,8 @@
     GateRequest { class, idempotent: true, is_back, avoid: Vec::new(), deadline }
 }
 
-/// The worker's one slot is taken. Requests wait, and a busy worker turns one away that had its turn:
-/// it goes before those that came after it. At the end of the queue it would be refused late.
+/// The worker's only slot is taken and requests wait. A request that a busy worker has rejected
+/// goes before those that came later: at the end of the queue, it would be refused late.
 #[tokio::test(start_paused = true)]
 async fn urgent_requests_go_first_and_a_rejected_one_keeps_its_turn() {
     let gate = gate();
@@ -74,7 +74,7 @@
     assert_eq!(got, ["urgent", "back", "first", "second", "batch"]);
 }
 
-/// A queue that is full refuses newcomers at once, but not one that had its place before.
+/// A full queue refuses new requests at once, but not one that had its place before.
 #[tokio::test(start_paused = true)]
 async fn a_full_queue_refuses_only_new_requests() {
     let gate = gate();
--- a/tests/key_model.rs
+++ b/tests/key_model.rs
@@ -1,8 +1,8 @@
-//! Ownership of idempotency keys, through any order of failures: no key is run twice.
+//! Model of the ownership of idempotency keys under any order of failures: no key runs twice.
 //!
-//! Entries come, leave, are evicted while they are up, frozen or cut off; they read the log or not,
-//! vouch for each other or not, hand over or not, and are frozen between the last look at their
-//! right and the write to the worker. The oracle counts runs.
+//! Entries join, leave, are evicted while running, pause or are partitioned. They may or may not
+//! read the log, confirm each other and hand over, and they may pause between the last check of
+//! their ownership and the write to the worker. The oracle counts runs.
 
 mod support;
 
@@ -25,32 +25,33 @@
     autonomy: Duration::from_millis(2_000),
 };
 
-/// One drawn step.
+/// One random step.
 #[derive(Clone, Copy, Debug)]
 enum ModelStep {
     /// An entry reads the log to its end.
     Read(u8),
     /// All entries read the log.
     ReadAll,
-    /// An entry asks another for its word.
+    /// An entry asks another for a confirmation.
     Gossip(u8, u8),
     /// All entries ask all others.
     GossipAll,
-    /// An entry hands over what is due.
+    /// An entry makes the hand-overs that are due.
     HandOver(u8),
-    /// All do.
+    /// All entries do.
     HandOverAll,
     /// The steward evicts an entry, whatever it is doing.
     Evict(u8),
-    /// An entry that is off the roster comes back under a new name.
+    /// An entry that is not on the roster joins under a new name.
     Join(u8),
-    /// An entry leaves in good order.
+    /// An entry leaves in an orderly way.
     Leave(u8),
-    /// A request with a new key, or an old one, comes to an entry.
+    /// A request with a new or an old key arrives at an entry.
     Request(u8, u8),
-    /// Requests with the newest keys come to all entries.
+    /// Requests with one of the newest keys arrive at all entries.
     RequestAll(u8),
-    /// An entry writes what it decided to run to the worker; until then it may be frozen.
+    /// An entry sends the requests that it decided to run to the worker; until then it may be
+    /// paused.
     Dispatch(u8),
     /// Time passes.
     Wait(u8),
@@ -254,8 +255,8 @@
         self.append(&steward, FleetBody::Act { term, act });
     }
 
-    /// The old name's process is gone, or knows that it was evicted: what it decided to run before
-    /// that may still be written.
+    /// The process with the old name is gone or knows that it was evicted. Requests that it had
+    /// decided to run may still reach the worker.
     fn join(&mut self, entry: usize) {
         if self.truth.roster.contains_key(&self.entries[entry].name) {
             return;
@@ -277,7 +278,7 @@
         }
     }
 
-    /// A new key now and then, else one of the newest.
+    /// Sometimes a new key, otherwise one of the newest.
     fn key(&mut self, draw: u8) -> RequestKey {
         if draw.is_multiple_of(3) || self.keys.is_empty() {
             let id = Uuid::from_u128(u128::from(draw) << 64 | self.keys.len() as u128);
@@ -337,7 +338,7 @@
     TestResult::passed()
 }
 
-/// A run of steps that are not drawn, to see that the model runs keys at all.
+/// A fixed sequence of steps, to verify that the model runs keys at all.
 #[test]
 fn a_settled_roster_runs_every_key_once() {
     let mut model = KeyModel::new();
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Who may claim the leadership, and when.
+//! When an entry may claim the leadership.
 
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
     view
 }
 
-/// The leader dies. Others claim after a silence in which three renewals fit, not earlier.
+/// The leader dies. Others claim after a timeout that covers three renewals, and not earlier.
 #[test]
 fn a_claim_waits_for_the_renewal_timeout() {
     let view = led_by_a();
@@ -42,8 +42,8 @@
     assert_eq!(view.term, 5);
 }
 
-/// The log is away for seconds, for everybody. When it is back the leader is given the time to renew:
-/// the silence was the log's, not its own.
+/// The log is unreachable for seconds for all entries. When it is back, the leader gets time to
+/// renew, because the log was silent and not the leader.
 #[test]
 fn the_renewal_timeout_does_not_run_while_the_log_is_unreachable() {
     let mut view = led_by_a();
@@ -54,8 +54,8 @@
     assert_eq!(view.claim_in_ms(&b, false, 9_000), Some(RENEWAL_TIMEOUT_MS));
 }
 
-/// Everything lost power. The process that led before is started again: nobody can lead in its place,
-/// and callers should not wait for a silence to pass.
+/// All processes lose power, and the previous leader's process is restarted. Nobody else can lead,
+/// and callers should not wait for the renewal timeout.
 #[test]
 fn a_restarted_holder_claims_at_once() {
     let view = led_by_a();
@@ -64,7 +64,7 @@
 }
 
 /// The leader's process was killed, and an entry that relayed a caller's job found its address
-/// closed. One renewal that is under way is still waited for.
+/// closed. Only a renewal in flight is still awaited.
 #[test]
 fn a_closed_address_shortens_the_renewal_timeout() {
     let view = led_by_a();
@@ -72,7 +72,7 @@
     assert_eq!(view.claim_in_ms(&b, true, 1_000), Some(CLOSED_RENEWAL_TIMEOUT_MS));
 }
 
-/// A leader that stops says so, and its successor need not wait.
+/// A leader that stops announces it, so its successor need not wait.
 #[test]
 fn a_resignation_frees_the_leadership_at_once() {
     let mut view = led_by_a();
@@ -82,8 +82,8 @@
     assert!(!view.is_held_by(&holder("a", 1)));
 }
 
-/// The leader dies on a site whose VMs differ. One with a tenth of a core would be overrun by the jobs
-/// of 350 workers: those that are fit claim first, and it only where none of them does.
+/// The leader dies on a site with different VMs. A VM with a tenth of a core would be overloaded by
+/// the jobs of 350 workers, so it claims only if none of the fit VMs does.
 #[test]
 fn a_weak_vm_claims_after_the_fit_ones() {
     assert_eq!(claim_delay_ms(250, 1_000), 0);
@@ -95,7 +95,7 @@
     assert_eq!(view.claim_in_ms(&weak, false, 1_000 + RENEWAL_TIMEOUT_MS + delay_ms), Some(0));
 }
 
-/// Two processes claim at once; the log takes the first, and the second reads who won.
+/// Two processes claim at once. The log accepts the first, and the second reads who has won.
 #[test]
 fn the_loser_of_a_race_learns_the_winner_by_reading_on() {
     let mut view = LeadershipView::default();
@@ -106,9 +106,9 @@
     assert_eq!(view.term, 1);
 }
 
-/// A new leader must know whether a command of the one before may still be under way. Only a
-/// resignation, or the end of its own earlier process, says that none will follow; a silence says
-/// nothing, and a leader that was never seen leaves nothing to wait for.
+/// A new leader must know whether a command of the previous one may still be in flight. Only a
+/// resignation, or the end of its own earlier process, rules that out; a missing renewal does not.
+/// A leader that was never seen leaves nothing to wait for.
 #[test]
 fn only_a_resignation_or_a_restart_proves_that_the_previous_leader_has_ended() {
     let view = led_by_a();
--- a/tests/revocation_model.rs
+++ b/tests/revocation_model.rs
@@ -1,11 +1,13 @@
-//! A model of entries that honour keys by readings of a log: each seed draws one history of readings, pages,
-//! questions between entries, pauses, restarts, cuts and clocks that run apart, and a key that is taken away.
+//! Model of entries that honour API keys based on reads of a log. Each seed generates one history
+//! of reads, pages, queries between entries, pauses, restarts, partitions and clocks of different
+//! speeds, with one key that is revoked.
 //!
-//! Checked in each: a request whose last byte was sent later than the bound after the revocation was
-//! acknowledged is never served, on any entry. The times at which readings count are the model's own; whether
-//! they honour a key is decided by the product's rule.
+//! In each history, no entry may serve a request whose last byte was sent later than the bound
+//! after the acknowledgement of the revocation. The model keeps the start times of the reads
+//! itself; the product's rule decides whether they honour a key.
 //!
-//! The rule needs each of its parts: with one of them left out the model finds a history that breaks it.
+//! Every part of the rule is necessary: without any one of them, the model finds a history that
+//! breaks the rule.
 
 use std::collections::HashSet;
 
@@ -14,52 +16,54 @@
 use rand::{Rng, SeedableRng};
 
 const RULE: RevocationRule = RevocationRule { is_strict: true, bound_ms: 5_000 };
-/// Histories of the whole rule in CI; by hand `IBISWEIR_TEST_RUNS` draws more.
+/// Histories of the complete rule in CI; set `IBISWEIR_TEST_RUNS` to run more.
 const RUNS: u64 = 600;
-/// Histories in which a part that is left out must show.
+/// Histories within which an omitted part must show.
 const RUNS_WITHOUT: u64 = 2_000;
 /// Length of a history, in milliseconds.
 const LENGTH_MS: u64 = 40_000;
 const ENTRIES: usize = 3;
 
-/// A part of the rule that is left out.
+/// A part of the rule that is omitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Without {
     Nothing,
-    /// Readings count from when their answer comes.
+    /// Reads count from the arrival of their answer instead of their start.
     StartOfRead,
-    /// A restarted process counts its pages of the newest records as a reading, from the last one.
+    /// A restarted process counts its pages of the newest records as a read, from the start of the
+    /// last page.
     Restart,
-    /// The key is looked at when the head has come, and not again when the body has.
+    /// The key is checked when the head has arrived, and not again when the body has.
     SecondCheck,
-    /// Another entry's age counts from when its answer comes.
+    /// Another entry's age counts from the arrival of its answer.
     StartOfQuery,
 }
 
-/// What an entry has under way.
+/// A pending operation of an entry.
 #[derive(Clone, Copy, Debug)]
 enum PendingRead {
-    /// A reading of the log: what it shows, and when its answer comes.
+    /// A read of the log: when it began, and whether it contains the revocation.
     Log { began: u64, is_revoked: bool },
-    /// Pages of the newest records: whether the one with the configuration had the revocation, when the last began.
+    /// Pages of the newest records: when the last one began, and whether the page with the
+    /// configuration contained the revocation.
     Pages { last_began: u64, is_revoked: bool },
-    /// A question to another entry: when it was sent, and what was answered.
+    /// A query to another entry: when it was sent, and the answer.
     Query { sent: u64, answer: Option<(u64, bool)> },
 }
 
-/// An entry; its times are its own clock's.
+/// An entry; its times are those of its own clock.
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Rate of its clock, in thousandths.
+    /// Speed of its clock, in thousandths.
     rate: u64,
-    /// It stands still until then, by true time.
+    /// It is paused until then, by true time.
     paused_until: u64,
     confirmed: Option<u64>,
-    /// Whether the configuration in force lacks the key.
+    /// Whether its current configuration lacks the key.
     is_revoked: bool,
     pending: Option<(u64, PendingRead)>,
     is_restarting: bool,
-    /// A request whose head was let in, and when its last byte is sent.
+    /// When the last byte is sent of a request whose head was accepted.
     request: Option<u64>,
 }
 
@@ -130,7 +134,7 @@
         self.call(position, now);
     }
 
-    /// A process that starts anew knows the configuration only from what it reads.
+    /// A restarted process knows the configuration only from its reads.
     fn restart(&mut self, position: usize) {
         let entry = &mut self.entries[position];
         (entry.confirmed, entry.pending, entry.request) = (None, None, None);
@@ -138,7 +142,7 @@
         entry.is_restarting = true;
     }
 
-    /// A reading is evaluated by the log at some time between its start and its answer.
+    /// The log evaluates a read at some time between its start and its answer.
     fn begin(&mut self, position: usize, now: u64) {
         let (to_log, back) = (self.delay(), self.delay());
         let evaluated = now + to_log;
@@ -157,13 +161,14 @@
         self.entries[position].pending = Some(pending);
     }
 
-    /// Another entry answers by what it has shown when the question reaches it.
+    /// Another entry answers with what it has confirmed when the query reaches it.
     fn query(&mut self, position: usize, now: u64, reached: u64, back: u64) -> (u64, PendingRead) {
         let other = (position + self.random.random_range(1..ENTRIES)) % ENTRIES;
         let other = &self.entries[other];
         let is_there = reached >= other.paused_until && !other.is_restarting;
         let clock = other.clock(reached);
-        // What it has shown by now is no newer than what it will have shown when the question comes.
+        // What it has confirmed by now is no newer than what it will have confirmed when the query
+        // arrives.
         let answer = other.confirmed.filter(|_| is_there);
         let answer = answer.map(|confirmed| (clock.saturating_sub(confirmed), other.is_revoked));
         (reached + back, PendingRead::Query { sent: self.entries[position].clock(now), answer })
@@ -202,7 +207,7 @@
         entry.confirmed = entry.confirmed.max(confirmed);
     }
 
-    /// A caller with the key sends a request: its head, and after a while its last byte.
+    /// A caller with the key sends the head of a request, and its last byte some time later.
     fn call(&mut self, position: usize, now: u64) {
         let last_byte = now + self.delay();
         let may_honour = self.entries[position].may_honour(now);
@@ -227,7 +232,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// The first of so many histories that breaks the rule.
+/// The first history that breaks the rule, among the given number.
 fn violation(without: Without, runs: u64) -> Option<(u64, String)> {
     let first = number("IBISWEIR_TEST_SEED", 1);
     let mut seeds = first..first + number("IBISWEIR_TEST_RUNS", runs);
--- a/tests/waves.rs
+++ b/tests/waves.rs
@@ -1,4 +1,4 @@
-//! What a planning step does, and what it leaves alone.
+//! Which acts a planning step returns.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 }
 
 impl Fleet {
-    /// The shape with every VM placed.
+    /// A fleet of this shape with every VM placed.
     fn open(shape: &FleetShape) -> Self {
         let vms = shape.vms();
         let port = |vm: &VmName| vms.iter().position(|(name, ..)| name == vm).unwrap_or(0);
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Steps of every steward; drains are confirmed and reboots done at once. The most VMs of a
-    /// product that were out at a time.
+    /// Runs planning steps of every steward; drains are confirmed and reboots finish at once.
+    /// Returns the highest number of VMs that were out of service at a time.
     fn run(&mut self, steps: u32) -> u32 {
         let mut most = 0;
         for _ in 0..steps {
@@ -138,8 +138,8 @@
     }
 }
 
-/// A VM fails while a wave runs. The product has no spare worker any more: another drain would take
-/// it below its capacity, and callers would see refusals for a reboot that can wait.
+/// A VM fails during a wave, and the product has no spare worker left. Another drain would take the
+/// product below its capacity, and callers would get refusals because of a reboot that can wait.
 #[test]
 fn a_failure_pauses_a_wave_and_its_repair_resumes_it() {
     let mut fleet = Fleet::open(&shape(1));
@@ -156,7 +156,7 @@
     assert!(states.into_iter().all(|state| !state.waves.is_empty()));
 }
 
-/// The loss of a rack during the drain would cost the product more than is left of its budget.
+/// The loss of a rack during the drain would cost the product more than the rest of its budget.
 #[test]
 fn a_spent_budget_starts_no_drain() {
     let mut fleet = Fleet::open(&shape(1));
@@ -185,7 +185,8 @@
     assert_eq!(fleet.out(), 0);
 }
 
-/// A data centre is lost with VMs that the wave has yet to reach; the operators name those left.
+/// A data centre is lost with VMs that the wave has not reached yet; the operators restrict the
+/// wave to the others.
 #[test]
 fn a_wave_goes_on_without_a_lost_data_centre_when_it_names_the_others() {
     let mut fleet = Fleet::open(&shape(1));
@@ -195,7 +196,7 @@
     assert_eq!(fleet.plan(&CentreName::from("dc-b")).len(), 1);
 }
 
-/// Two operators publish waves over the same pool. Both have to share its one spare worker.
+/// Two operators publish waves for the same pool, which have to share its one spare worker.
 #[test]
 fn two_waves_over_one_pool_share_its_spare_workers() {
     let mut fleet = Fleet::open(&shape(1));
@@ -206,7 +207,8 @@
     assert!(states.into_iter().all(|state| state.waves.len() == 2));
 }
 
-/// A VM leaves the document and the pool shrinks by it: that VM goes, not another one of the pool.
+/// A VM is removed from the document and its pool shrinks by one: that VM is drained, and no other
+/// one of the pool.
 #[test]
 fn a_vm_that_is_removed_from_the_document_is_drained_first() {
     let mut fleet = Fleet::open(&shape(2));
