--- a/src/jobs/caller_service.rs
+++ b/src/jobs/caller_service.rs
@@ -22,7 +22,7 @@
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// Longest wait for the log before a caller is told that the outcome is not known: by then another
 /// entry is the better choice, and the caller has time left for it.
-const SUBMIT_PATIENCE: Duration = Duration::from_millis(1_500);
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// When a caller that was refused for an outage may come back.
 const OUTAGE_RETRY: Duration = Duration::from_secs(1);
 
@@ -83,7 +83,7 @@
         }
         let config = self.node.honoured_config();
         let admitted = admit(config.as_ref().and_then(|config| config.access.as_ref()), key);
-        admitted.map_err(|refusal| self.not_admitted(refusal))
+        admitted.map_err(|refusal| self.rejection(refusal))
     }
 
     /// Whether callers of any queue need keys.
@@ -91,7 +91,7 @@
         self.node.config().is_some_and(|config| config.access.is_some())
     }
 
-    fn not_admitted(&self, refusal: AccessRefusal) -> CallerReply {
+    fn rejection(&self, refusal: AccessRefusal) -> CallerReply {
         let (code, wait) = match refusal {
             AccessRefusal::NoKey => (ResultCode::NoApiKey, None),
             AccessRefusal::UnknownKey => (ResultCode::UnknownApiKey, None),
@@ -109,7 +109,7 @@
         caller: &CallerAccess,
         job: JobId,
         spec: JobSpec,
-        patience: Duration,
+        time_left: Duration,
     ) -> CallerReply {
         let logger = self.node.logger.clone();
         if let Err(fault) = spec.check() {
@@ -119,10 +119,10 @@
         }
         if let Some(known) = KnownJob::find(&self.node, job) {
             info!(logger, "job known already"; "job" => %job);
-            return stored_for(caller, Some(&known));
+            return reply_for_stored(caller, Some(&known));
         }
         if self.node.is_log_away() {
-            return outage();
+            return outage_reply();
         }
         let submission = JobSubmission {
             queue: queue.name.clone(),
@@ -140,29 +140,29 @@
             return CallerReply::Refused(ResultCode::BodyTooLarge, None);
         }
         let begun = Instant::now();
-        let outcome = self.submitter.submit(record, deadline(queue, patience)).await;
-        note(&logger, "submission", job, outcome, begun);
+        let outcome = self.submitter.submit(record, deadline(queue, time_left)).await;
+        log_outcome(&logger, "submission", job, outcome, begun);
         match outcome {
-            SubmitOutcome::Stored => self.stored(caller, job).await,
-            outcome => reply(outcome),
+            SubmitOutcome::Stored => self.stored_reply(caller, job).await,
+            outcome => outcome_reply(outcome),
         }
     }
 
     /// A job of this id is stored. Where jobs belong to organisations, this caller's may have come second; without a copy
     /// of the log the leader tells.
-    async fn stored(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
+    async fn stored_reply(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
         if !self.needs_keys() || !self.node.asks_replicas() {
-            return stored_for(caller, KnownJob::find(&self.node, job).as_ref());
+            return reply_for_stored(caller, KnownJob::find(&self.node, job).as_ref());
         }
         match self.relay.look(&self.node, job).await {
-            Some(Some(known)) => stored_for(caller, Some(&known)),
+            Some(Some(known)) => reply_for_stored(caller, Some(&known)),
             Some(None) | None => CallerReply::Unknown(ResultCode::JobOutcomeUnknown),
         }
     }
 
     /// Tells a job's state.
     pub async fn job_state(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
-        match self.known(job).await {
+        match self.find_job(job).await {
             Ok(Some(known)) if !self.is_hidden(caller, job, &known) => {
                 CallerReply::State(known.state)
             }
@@ -182,30 +182,30 @@
 
     /// A job by this entry's book; while the log turns this entry alone away its book stands still, and the
     /// leader's is asked.
-    async fn known(&self, job: JobId) -> Result<Option<KnownJob>, CallerReply> {
+    async fn find_job(&self, job: JobId) -> Result<Option<KnownJob>, CallerReply> {
         if self.node.asks_replicas() {
             match self.queries.ask(&self.node, &JobQuery::Job(job)).await {
                 Some(JobAnswer::Job(known)) => return Ok(known),
                 Some(JobAnswer::Stale(known)) => return Ok(Some(known)),
-                Some(JobAnswer::Waiting(_)) | None => return Err(self.not_read()),
+                Some(JobAnswer::Waiting(_)) | None => return Err(self.log_unread_reply()),
             }
         }
-        let own = KnownJob::find(&self.node, job);
-        if own.as_ref().is_some_and(|own| own.state.is_final()) {
-            return Ok(own);
+        let local = KnownJob::find(&self.node, job);
+        if local.as_ref().is_some_and(|local| local.state.is_final()) {
+            return Ok(local);
         }
         // A job that the leader does not know may stand on the log by another entry's append.
         if self.node.is_turned_away()
-            && let Some(Some(told)) = self.relay.look(&self.node, job).await
+            && let Some(Some(found)) = self.relay.look(&self.node, job).await
         {
-            return Ok(Some(told));
+            return Ok(Some(found));
         }
-        if own.is_some() {
-            return Ok(own);
+        if local.is_some() {
+            return Ok(local);
         }
         match self.reader.catch_up().await {
             true => Ok(KnownJob::find(&self.node, job)),
-            false => Err(self.not_read()),
+            false => Err(self.log_unread_reply()),
         }
     }
 
@@ -216,10 +216,10 @@
         queue: &QueueSpec,
         caller: &CallerAccess,
         job: JobId,
-        patience: Duration,
+        time_left: Duration,
     ) -> CallerReply {
         let begun = Instant::now();
-        let known = self.known(job).await;
+        let known = self.find_job(job).await;
         let (record, what) = match &known {
             // Whether it would count for a job that is there can't be told where callers belong to organisations.
             Err(reply) if self.node.is_log_away() || self.needs_keys() => return *reply,
@@ -229,12 +229,12 @@
             Ok(None) => (tombstone(caller, job), "cancellation of no known job"),
             Err(_) => (tombstone(caller, job), "cancellation without a look at the job"),
         };
-        let left = patience.saturating_sub(begun.elapsed());
-        let outcome = self.submitter.submit(record, deadline(queue, left)).await;
-        note(&self.node.logger, what, job, outcome, begun);
+        let remaining = time_left.saturating_sub(begun.elapsed());
+        let outcome = self.submitter.submit(record, deadline(queue, remaining)).await;
+        log_outcome(&self.node.logger, what, job, outcome, begun);
         match outcome {
             SubmitOutcome::Stored if known == Ok(None) => no_such_job(),
-            outcome => reply(outcome),
+            outcome => outcome_reply(outcome),
         }
     }
 
@@ -245,51 +245,51 @@
         }
         match self.queries.ask(&self.node, &JobQuery::Waiting(queue.name.clone())).await {
             Some(JobAnswer::Waiting(waiting)) => CallerReply::Waiting(waiting),
-            Some(JobAnswer::Job(_) | JobAnswer::Stale(_)) | None => self.not_read(),
+            Some(JobAnswer::Job(_) | JobAnswer::Stale(_)) | None => self.log_unread_reply(),
         }
     }
 
     /// The same by this entry's own copy.
     pub fn own_waiting_jobs(&self, queue: &QueueSpec) -> CallerReply {
         if !self.node.is_current() {
-            return self.not_read();
+            return self.log_unread_reply();
         }
         CallerReply::Waiting(self.node.book().waiting_jobs(&queue.name))
     }
 
     /// Why the log could not be read to its end: it is away, or this entry is behind.
-    fn not_read(&self) -> CallerReply {
+    fn log_unread_reply(&self) -> CallerReply {
         if self.node.is_log_away() {
-            return outage();
+            return outage_reply();
         }
         CallerReply::Refused(ResultCode::BehindLog, Some(OUTAGE_RETRY))
     }
 }
 
-fn deadline(queue: &QueueSpec, patience: Duration) -> Instant {
-    let own = match queue.timeout_ms {
-        0 => SUBMIT_PATIENCE,
-        timeout => SUBMIT_PATIENCE.min(Duration::from_millis(timeout)),
+fn deadline(queue: &QueueSpec, time_left: Duration) -> Instant {
+    let time_limit = match queue.timeout_ms {
+        0 => SUBMIT_TIMEOUT,
+        timeout => SUBMIT_TIMEOUT.min(Duration::from_millis(timeout)),
     };
     // A caller with less time than the margin still gets half of it: an append takes a few milliseconds
     // as a rule, and an outcome that is not known is worth nothing to it.
-    let margin = ANSWER_MARGIN.min(patience / 2);
-    Instant::now() + own.min(patience - margin)
+    let margin = ANSWER_MARGIN.min(time_left / 2);
+    Instant::now() + time_limit.min(time_left - margin)
 }
 
 /// The job of this id is stored; a caller of another organisation than its own has not handed it in, and nothing
 /// of what it asked for will run.
-fn stored_for(caller: &CallerAccess, known: Option<&KnownJob>) -> CallerReply {
+fn reply_for_stored(caller: &CallerAccess, known: Option<&KnownJob>) -> CallerReply {
     match known.is_none_or(|known| caller.may_see(known.organisation.as_ref())) {
         true => CallerReply::Stored,
         false => CallerReply::Refused(ResultCode::JobIdTaken, None),
     }
 }
 
-fn reply(outcome: SubmitOutcome) -> CallerReply {
+fn outcome_reply(outcome: SubmitOutcome) -> CallerReply {
     match outcome {
         SubmitOutcome::Stored => CallerReply::Stored,
-        SubmitOutcome::Refused => outage(),
+        SubmitOutcome::Refused => outage_reply(),
         SubmitOutcome::Unknown => CallerReply::Unknown(ResultCode::JobOutcomeUnknown),
     }
 }
@@ -300,7 +300,7 @@
     JobRecord::CancelledBy(job, OrganisationDigest::of(caller.organisation.as_ref()))
 }
 
-fn outage() -> CallerReply {
+fn outage_reply() -> CallerReply {
     CallerReply::Refused(ResultCode::LogAway, Some(OUTAGE_RETRY))
 }
 
@@ -308,7 +308,13 @@
     CallerReply::Refused(ResultCode::UnknownJob, None)
 }
 
-fn note(logger: &Logger, what: &'static str, job: JobId, outcome: SubmitOutcome, begun: Instant) {
+fn log_outcome(
+    logger: &Logger,
+    what: &'static str,
+    job: JobId,
+    outcome: SubmitOutcome,
+    begun: Instant,
+) {
     let took_ms = crate::clock::millis(begun.elapsed());
     info!(logger, "{}", what; "job" => %job, "outcome" => ?outcome, "took_ms" => took_ms);
 }
--- a/src/jobs/catch_up.rs
+++ b/src/jobs/catch_up.rs
@@ -16,42 +16,42 @@
 use crate::jobs::ports::{JobLog, LogTopic, ReadOutcome};
 
 /// Time to read the newest records before a caller is told that the log is away.
-const PATIENCE: Duration = Duration::from_millis(800);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after an answer that brought no record and did not come to the log's end.
-const REPEAT_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Reads the job log to its end on demand.
 pub struct CatchUpReader<L> {
     node: Arc<JobNode>,
     log: L,
     /// When the latest read that came to the log's end began.
-    begun: Mutex<Option<Instant>>,
+    last_start: Mutex<Option<Instant>>,
 }
 
 impl<L: JobLog> CatchUpReader<L> {
     /// A reader that folds into this entry's book.
     pub fn new(node: Arc<JobNode>, log: L) -> CatchUpReader<L> {
-        CatchUpReader { node, log, begun: Mutex::new(None) }
+        CatchUpReader { node, log, last_start: Mutex::new(None) }
     }
 
     /// Waits until the book has all that was on the log when this was called; false if the log can't
     /// be read now.
     pub async fn catch_up(&self) -> bool {
-        let asked = Instant::now();
-        timeout(PATIENCE, self.read_since(asked)).await.unwrap_or(false)
+        let requested = Instant::now();
+        timeout(CATCH_UP_TIMEOUT, self.read_since(requested)).await.unwrap_or(false)
     }
 
-    async fn read_since(&self, asked: Instant) -> bool {
-        let mut newest = self.begun.lock().await;
-        if newest.is_some_and(|begun| begun >= asked) {
+    async fn read_since(&self, requested: Instant) -> bool {
+        let mut last_start = self.last_start.lock().await;
+        if last_start.is_some_and(|begun| begun >= requested) {
             return true;
         }
         let begun = Instant::now();
-        let is_read = self.read_to_end().await;
-        if is_read {
-            *newest = Some(begun);
+        let is_complete = self.read_to_end().await;
+        if is_complete {
+            *last_start = Some(begun);
         }
-        is_read
+        is_complete
     }
 
     async fn read_to_end(&self) -> bool {
@@ -69,7 +69,7 @@
                         return true;
                     }
                     if is_empty {
-                        sleep(REPEAT_PAUSE).await;
+                        sleep(RETRY_DELAY).await;
                     }
                 }
                 ReadOutcome::Expired { .. } | ReadOutcome::Refused | ReadOutcome::Unknown => {
--- a/src/jobs/confirm.rs
+++ b/src/jobs/confirm.rs
@@ -32,15 +32,15 @@
 pub const QUERY_BYTES_MAX: usize = 64;
 /// Part of the time for which a reading counts from which others are asked: one in so many. A reading that
 /// waits for news is answered long before.
-const ASK_PART: u64 = 3;
+const ASK_AGE_DIVISOR: u64 = 3;
 /// Time between two looks at the age of the own reading, and between two questions.
-const LOOK_GAP: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for an answer.
-const ASK_PATIENCE: Duration = Duration::from_millis(450);
+const ASK_TIMEOUT: Duration = Duration::from_millis(450);
 /// Time between two questions of an entry that is well, in milliseconds: it learns whom it could ask.
-const MEET_GAP_MS: u64 = 10_000;
+const PEER_REFRESH_MS: u64 = 10_000;
 /// The same while it knows nobody.
-const FIRST_MEET_GAP_MS: u64 = 1_000;
+const FIRST_PEER_REFRESH_MS: u64 = 1_000;
 /// Other entries that an answer names.
 const PEERS_MAX: usize = 5;
 
@@ -67,10 +67,10 @@
 
 /// Answers a question; nothing if it can't be read.
 pub fn answer(node: &JobNode, body: &[u8]) -> Option<Vec<u8>> {
-    let question: ConfirmQuery = postcard::from_bytes(body).ok()?;
+    let query: ConfirmQuery = postcard::from_bytes(body).ok()?;
     // The age before the configuration: what the reading has shown is in force by then.
     let age_ms = node.config_age_ms();
-    let config = node.config().filter(|config| config.version > question.version);
+    let config = node.config().filter(|config| config.version > query.version);
     let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
     let leader = if leads { Some(node.settings.peer) } else { node.leader() };
     let peers = match leads {
@@ -88,13 +88,14 @@
         info!(node.logger, "configuration in force"; "version" => version, "from" => "another entry");
     }
     // A reading from before this process began can't be told by its clock, and is not needed.
-    let shown = answer.age_ms.and_then(|age| asked_ms.checked_sub(age));
-    if let Some(shown) = shown {
-        node.config_shown(shown);
+    let confirmed = answer.age_ms.and_then(|age| asked_ms.checked_sub(age));
+    if let Some(confirmed) = confirmed {
+        node.config_shown(confirmed);
     }
     if node.is_log_silent() {
-        if shown.is_some_and(|shown| node.now() < shown + node.settings.bounds.revocation.bound_ms)
-        {
+        if confirmed.is_some_and(|confirmed| {
+            node.now() < confirmed + node.settings.bounds.revocation.bound_ms
+        }) {
             node.turned_away();
         }
         node.set_leader(answer.leader);
@@ -121,19 +122,20 @@
 
     async fn step(&mut self) -> Duration {
         let Some(config) = self.node.config().filter(|config| config.access.is_some()) else {
-            return LOOK_GAP;
+            return CHECK_INTERVAL;
         };
         let rule = &self.node.settings.bounds.revocation;
         let now = self.node.now();
         let age = self.node.config_age_ms();
-        let is_old = age.is_none_or(|age| age > rule.bound_ms / ASK_PART);
-        let meet_gap = if self.node.peers().is_empty() { FIRST_MEET_GAP_MS } else { MEET_GAP_MS };
-        let is_due = self.peers_asked_ms.is_none_or(|met| now >= met + meet_gap);
+        let is_old = age.is_none_or(|age| age > rule.bound_ms / ASK_AGE_DIVISOR);
+        let refresh_ms =
+            if self.node.peers().is_empty() { FIRST_PEER_REFRESH_MS } else { PEER_REFRESH_MS };
+        let is_due = self.peers_asked_ms.is_none_or(|asked| now >= asked + refresh_ms);
         if rule.is_strict && (is_old || is_due) {
             self.peers_asked_ms = Some(now);
             self.ask(config.version, is_old).await;
         }
-        LOOK_GAP
+        CHECK_INTERVAL
     }
 }
 
@@ -148,7 +150,7 @@
             headers: HeaderMap::new(),
             body: Bytes::from(body),
         };
-        let answer = self.transport.exchange(target, call, ASK_PATIENCE).await.ok();
+        let answer = self.transport.exchange(target, call, ASK_TIMEOUT).await.ok();
         let answer = answer.filter(|answer| answer.status == StatusCode::OK);
         let answer: Option<ConfirmAnswer> =
             answer.and_then(|answer| postcard::from_bytes(&answer.body).ok());
--- a/src/jobs/decision_log.rs
+++ b/src/jobs/decision_log.rs
@@ -22,7 +22,7 @@
         }
         SchedulerEvent::Lost { task, run, worker, how, at_work_ms } => {
             count(&node.metrics.exits, how);
-            count(&node.metrics.lost_runs, lost_word(*at_work_ms));
+            count(&node.metrics.lost_runs, lost_run_label(*at_work_ms));
             info!(logger, "ended"; "job" => %task.job, "task" => %task, "run" => run,
                 "worker" => &**worker, "how" => how, "at_work_ms" => at_work_ms);
         }
@@ -100,7 +100,7 @@
 }
 
 /// The class of a run that ended with its worker, for metrics.
-fn lost_word(at_work_ms: Option<u64>) -> &'static str {
+fn lost_run_label(at_work_ms: Option<u64>) -> &'static str {
     match at_work_ms {
         None => "start not answered",
         Some(at_work_ms) if at_work_ms < CRASH_WINDOW_MS => "just begun",
--- a/src/jobs/job_table.rs
+++ b/src/jobs/job_table.rs
@@ -35,10 +35,10 @@
     }
 
     /// Lets the cancellations count of callers that may see the job.
-    fn settle(&mut self) {
+    fn apply_tombstones(&mut self) {
         let Some(submission) = &self.submission else { return };
         let owner = submission.organisation.as_ref();
-        for (_, offset) in self.tombstones.iter().filter(|(mark, _)| mark.may_see(owner)) {
+        for (_, offset) in self.tombstones.iter().filter(|(digest, _)| digest.may_see(owner)) {
             self.is_cancelled = true;
             self.cancelled_offset = self.cancelled_offset.max(*offset);
         }
@@ -57,8 +57,8 @@
     }
 
     fn is_empty(&self) -> bool {
-        let is_told = self.submission.is_some() || self.progress.is_some() || self.is_cancelled;
-        !is_told && self.tombstones.is_empty()
+        let has_record = self.submission.is_some() || self.progress.is_some() || self.is_cancelled;
+        !has_record && self.tombstones.is_empty()
     }
 
     /// What a caller may be told; nothing before the submission was read.
@@ -144,29 +144,29 @@
     /// Takes the record at `offset` of the log; returns whether it told something new.
     pub fn fold(&mut self, record: &JobRecord, offset: u64) -> bool {
         match record {
-            JobRecord::Submitted(job, submission) => self.change(*job, offset, |entry| {
+            JobRecord::Submitted(job, submission) => self.update(*job, offset, |entry| {
                 // The first submission counts: a caller's retry reaches another entry with the
                 // same job, and what has been scheduled must not change under it.
                 let is_new = entry.submission.is_none();
                 entry.submission_offset = entry.submission_offset.max(offset);
                 if is_new || submission.has_no_spec() {
                     entry.submission = Some(submission.clone());
-                    entry.settle();
+                    entry.apply_tombstones();
                 }
                 is_new
             }),
-            JobRecord::Cancelled(job) => self.change(*job, offset, |entry| {
+            JobRecord::Cancelled(job) => self.update(*job, offset, |entry| {
                 entry.cancelled_offset = entry.cancelled_offset.max(offset);
                 !std::mem::replace(&mut entry.is_cancelled, true)
             }),
-            JobRecord::CancelledBy(job, mark) => self.change(*job, offset, |entry| {
-                let is_new = !entry.tombstones.contains_key(mark);
-                let newest = entry.tombstones.entry(*mark).or_default();
+            JobRecord::CancelledBy(job, digest) => self.update(*job, offset, |entry| {
+                let is_new = !entry.tombstones.contains_key(digest);
+                let newest = entry.tombstones.entry(*digest).or_default();
                 *newest = offset.max(*newest);
-                entry.settle();
+                entry.apply_tombstones();
                 is_new
             }),
-            JobRecord::Progress(job, progress) => self.change(*job, offset, |entry| {
+            JobRecord::Progress(job, progress) => self.update(*job, offset, |entry| {
                 // A snapshot's later pages can be ahead of the records that are read after it.
                 let is_new = entry.progress.is_none() || offset > entry.progress_offset;
                 if is_new {
@@ -181,9 +181,9 @@
                 // It may be read again after what this entry has appended since.
                 self.forget_before(*job, offset)
             }
-            JobRecord::TombstoneDropped(job, mark) => {
+            JobRecord::TombstoneDropped(job, digest) => {
                 let Some(entry) = self.jobs.get_mut(job) else { return false };
-                let is_new = entry.tombstones.remove(mark).is_some();
+                let is_new = entry.tombstones.remove(digest).is_some();
                 if entry.is_empty() {
                     self.jobs.remove(job);
                 }
@@ -209,18 +209,18 @@
 
     /// Forgets what lies before `end` on the log; returns whether that was all.
     fn forget_before(&mut self, job: JobId, end: u64) -> bool {
-        self.count(job, false);
+        self.count_waiting(job, false);
         let Some(entry) = self.jobs.get_mut(&job) else { return false };
         entry.forget_before(end);
-        let is_over = entry.is_empty();
-        if is_over {
+        let is_removed = entry.is_empty();
+        if is_removed {
             self.jobs.remove(&job);
         }
-        self.count(job, true);
-        is_over
+        self.count_waiting(job, true);
+        is_removed
     }
 
-    fn change(
+    fn update(
         &mut self,
         job: JobId,
         offset: u64,
@@ -229,14 +229,14 @@
         if self.dropped.get(&job).is_some_and(|dropped| offset < *dropped) {
             return false;
         }
-        self.count(job, false);
+        self.count_waiting(job, false);
         let is_new = edit(self.jobs.entry(job).or_default());
-        self.count(job, true);
+        self.count_waiting(job, true);
         is_new
     }
 
     /// Adds a job that waits to the count of its queue, or takes it off.
-    fn count(&mut self, job: JobId, is_added: bool) {
+    fn count_waiting(&mut self, job: JobId, is_added: bool) {
         let Some(entry) = self.jobs.get(&job) else { return };
         let Some(submission) = &entry.submission else { return };
         if entry.state() != Some(JobState::Queued) {
--- a/src/jobs/leader_load.rs
+++ b/src/jobs/leader_load.rs
@@ -13,9 +13,9 @@
 use crate::traffic::{CONNECTS, CallTraffic};
 
 /// Time between two lines, in milliseconds.
-const LOAD_GAP_MS: u64 = 2_000;
+const REPORT_INTERVAL_MS: u64 = 2_000;
 /// Kinds of calls in one line.
-const KINDS_MAX: usize = 10;
+const CALL_KINDS_MAX: usize = 10;
 
 /// A commit that the log has not confirmed yet.
 #[derive(Clone, Copy, Debug)]
@@ -30,11 +30,11 @@
 
 /// How late the leader's loop was, and what its calls took, since the last line.
 pub struct LeaderLoad {
-    told_ms: u64,
-    told: BTreeMap<String, CallTraffic>,
+    reported_ms: u64,
+    reported: BTreeMap<String, CallTraffic>,
     wakes: u32,
     late: Duration,
-    latest: Duration,
+    latest_wake: Duration,
     unconfirmed_ms: u64,
     unconfirmed_wakes: u32,
 }
@@ -43,11 +43,11 @@
     /// One that counts from now.
     pub fn open(node: &JobNode) -> LeaderLoad {
         LeaderLoad {
-            told_ms: node.now(),
-            told: node.metrics.traffic.totals(),
+            reported_ms: node.now(),
+            reported: node.metrics.traffic.totals(),
             wakes: 0,
             late: Duration::ZERO,
-            latest: Duration::ZERO,
+            latest_wake: Duration::ZERO,
             unconfirmed_ms: 0,
             unconfirmed_wakes: 0,
         }
@@ -63,44 +63,44 @@
     pub fn record_wake(&mut self, node: &JobNode, late: Duration, commit: Option<PendingCommit>) {
         self.wakes += 1;
         self.late += late;
-        self.latest = self.latest.max(late);
+        self.latest_wake = self.latest_wake.max(late);
         let now = node.now();
-        let span_ms = now.saturating_sub(self.told_ms);
-        if span_ms < LOAD_GAP_MS {
+        let period_ms = now.saturating_sub(self.reported_ms);
+        if period_ms < REPORT_INTERVAL_MS {
             return;
         }
         let totals = node.metrics.traffic.totals();
-        let spent = TrafficShares::since(&self.told, &totals, span_ms);
+        let summary = TrafficSummary::since(&self.reported, &totals, period_ms);
         let mean_ms = crate::clock::millis(self.late / self.wakes);
         info!(node.logger, "traffic of the leader"; "wakes" => self.wakes, "late_ms" => mean_ms,
-            "latest_ms" => crate::clock::millis(self.latest), "sent_kbs" => spent.sent_kbs,
-            "received_kbs" => spent.received_kbs, "calls" => %spent,
-            "connects" => spent.connects.calls, "connects_failed" => spent.connects.unanswered,
+            "latest_ms" => crate::clock::millis(self.latest_wake), "sent_kbs" => summary.sent_kbs,
+            "received_kbs" => summary.received_kbs, "calls" => %summary,
+            "connects" => summary.connects.calls, "connects_failed" => summary.connects.unanswered,
             "unconfirmed_ms" => self.unconfirmed_ms, "unconfirmed_wakes" => self.unconfirmed_wakes,
             "commit_bytes" => commit.map(|commit| commit.bytes),
             "commit_tries" => commit.map(|commit| commit.tries),
             "commit_age_ms" => commit.map(|commit| now.saturating_sub(commit.begun_ms)));
-        *self = LeaderLoad { told_ms: now, told: totals, ..LeaderLoad::open(node) };
+        *self = LeaderLoad { reported_ms: now, reported: totals, ..LeaderLoad::open(node) };
     }
 }
 
 /// The calls that took most of the link in a span of time: how many, how many without an answer, kilobytes a second sent
 /// and received.
-struct TrafficShares {
-    span_ms: u64,
+struct TrafficSummary {
+    period_ms: u64,
     sent_kbs: u64,
     received_kbs: u64,
     connects: CallTraffic,
     kinds: Vec<(String, CallTraffic)>,
 }
 
-impl TrafficShares {
+impl TrafficSummary {
     fn since(
-        told: &BTreeMap<String, CallTraffic>,
+        reported: &BTreeMap<String, CallTraffic>,
         totals: &BTreeMap<String, CallTraffic>,
-        span_ms: u64,
-    ) -> TrafficShares {
-        let before = |kind: &str| told.get(kind).copied().unwrap_or_default();
+        period_ms: u64,
+    ) -> TrafficSummary {
+        let before = |kind: &str| reported.get(kind).copied().unwrap_or_default();
         let mut kinds: Vec<(String, CallTraffic)> =
             totals.iter().map(|(kind, now)| (kind.clone(), now.since(before(kind)))).collect();
         kinds.sort_by_key(|(_, traffic)| std::cmp::Reverse(traffic.sent + traffic.received));
@@ -109,21 +109,22 @@
         };
         // Bytes in a millisecond are kilobytes in a second.
         let (sent_kbs, received_kbs) =
-            (sum(|traffic| traffic.sent) / span_ms, sum(|traffic| traffic.received) / span_ms);
+            (sum(|traffic| traffic.sent) / period_ms, sum(|traffic| traffic.received) / period_ms);
         let connects = totals.get(CONNECTS).copied().unwrap_or_default();
         let connects = connects.since(before(CONNECTS));
         kinds.retain(|(kind, traffic)| kind != CONNECTS && traffic.calls > 0);
-        kinds.truncate(KINDS_MAX);
-        TrafficShares { span_ms, sent_kbs, received_kbs, connects, kinds }
+        kinds.truncate(CALL_KINDS_MAX);
+        TrafficSummary { period_ms, sent_kbs, received_kbs, connects, kinds }
     }
 }
 
-impl fmt::Display for TrafficShares {
+impl fmt::Display for TrafficSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (position, (kind, traffic)) in self.kinds.iter().enumerate() {
             let gap = if position == 0 { "" } else { "; " };
             let (calls, lost) = (traffic.calls, traffic.unanswered);
-            let (sent, received) = (traffic.sent / self.span_ms, traffic.received / self.span_ms);
+            let (sent, received) =
+                (traffic.sent / self.period_ms, traffic.received / self.period_ms);
             write!(f, "{gap}{kind} {calls} ({lost} lost) {sent}/{received} KB/s")?;
         }
         Ok(())
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -163,16 +163,16 @@
         }
     }
 
-    /// The largest share of `room` that this takes in any resource, in thousandths.
-    pub fn dominant_share_of(&self, room: &ResourceVector) -> u64 {
-        let part = |own: u64, all: u64| match (own, all) {
+    /// The largest share of `capacity` that this takes in any resource, in thousandths.
+    pub fn dominant_share_of(&self, capacity: &ResourceVector) -> u64 {
+        let share = |own: u64, all: u64| match (own, all) {
             (0, _) => 0,
             (_, 0) => u64::MAX / 2,
             (own, all) => own.saturating_mul(1_000) / all,
         };
-        part(self.cpu, room.cpu)
-            .max(part(self.memory, room.memory))
-            .max(part(self.accelerators, room.accelerators))
+        share(self.cpu, capacity.cpu)
+            .max(share(self.memory, capacity.memory))
+            .max(share(self.accelerators, capacity.accelerators))
     }
 }
 
--- a/src/jobs/ports.rs
+++ b/src/jobs/ports.rs
@@ -122,7 +122,7 @@
     fn append(
         &self,
         call: &AppendCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = AppendOutcome> + Send;
 
     /// Bytes from which the next append should take no more records.
@@ -303,14 +303,14 @@
 
 /// The workers.
 pub trait WorkerClient: Clone + Send + Sync + 'static {
-    /// Renews leases and asks what runs. After `patience` beyond the wait that was asked for the worker counts
+    /// Renews leases and asks what runs. After `timeout` beyond the wait that was asked for the worker counts
     /// as silent, and no other call may rest on what was open to it; the answer is still taken when it comes
     /// within [`LATE_ANSWER_GRACE`] more.
     fn renew(
         &self,
         target: &WorkerTarget,
         call: &RenewCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<WorkerReport>> + Send;
 
     /// Starts a run; answers with the worker's clock.
@@ -318,7 +318,7 @@
         &self,
         target: &WorkerTarget,
         call: &StartCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<u64>> + Send;
 
     /// Stops a run; answers with the worker's clock.
@@ -326,7 +326,7 @@
         &self,
         target: &WorkerTarget,
         call: &RunCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<u64>> + Send;
 
     /// Lets a run work at a share of its speed, in percent.
@@ -335,7 +335,7 @@
         target: &WorkerTarget,
         call: &RunCall,
         percent: u32,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<u64>> + Send;
 }
 
--- a/src/jobs/query.rs
+++ b/src/jobs/query.rs
@@ -32,11 +32,11 @@
 /// Time for one entry to answer: it may have to read the log first.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time for all entries that are asked one after the other: the caller has time left for another entry.
-const WHOLE_TIMEOUT: Duration = Duration::from_millis(1_800);
+const TOTAL_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Entries that are asked at most.
-const ASKED_MAX: usize = 4;
+const ENTRIES_ASKED_MAX: usize = 4;
 /// Time for which an entry that did not answer is passed over, in milliseconds.
-const PASS_OVER_MS: u64 = 2_000;
+const SKIP_MS: u64 = 2_000;
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,11 +68,11 @@
     reader: &CatchUpReader<L>,
     body: &[u8],
 ) -> Result<JobAnswer, StatusCode> {
-    let question = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let query = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
     if !node.has_replica() {
         return Err(StatusCode::MISDIRECTED_REQUEST);
     }
-    match question {
+    match query {
         JobQuery::Waiting(queue) if node.is_current() => {
             Ok(JobAnswer::Waiting(node.book().waiting_jobs(&queue)))
         }
@@ -92,28 +92,28 @@
 #[derive(Clone)]
 pub struct QueryClient {
     transport: HttpTransport,
-    turn: Arc<AtomicUsize>,
-    passed_over: Arc<Mutex<HashMap<SocketAddr, u64>>>,
+    rotation: Arc<AtomicUsize>,
+    skipped: Arc<Mutex<HashMap<SocketAddr, u64>>>,
 }
 
 impl QueryClient {
     /// A client over this transport.
     pub fn new(transport: HttpTransport) -> QueryClient {
-        let turn = Arc::new(AtomicUsize::new(rand::random::<u16>().into()));
-        QueryClient { transport, turn, passed_over: Arc::default() }
+        let rotation = Arc::new(AtomicUsize::new(rand::random::<u16>().into()));
+        QueryClient { transport, rotation, skipped: Arc::default() }
     }
 
     /// Asks one entry after the other; nothing if none can tell.
-    pub async fn ask(&self, node: &JobNode, question: &JobQuery) -> Option<JobAnswer> {
-        let body = Bytes::from(postcard::to_stdvec(question).ok()?);
+    pub async fn ask(&self, node: &JobNode, query: &JobQuery) -> Option<JobAnswer> {
+        let body = Bytes::from(postcard::to_stdvec(query).ok()?);
         let begun = Instant::now();
         let mut stale = None;
-        for address in self.order(node).into_iter().take(ASKED_MAX) {
-            let left = WHOLE_TIMEOUT.saturating_sub(begun.elapsed()).min(ANSWER_TIMEOUT);
-            if left.is_zero() {
+        for address in self.candidates(node).into_iter().take(ENTRIES_ASKED_MAX) {
+            let time_left = TOTAL_TIMEOUT.saturating_sub(begun.elapsed()).min(ANSWER_TIMEOUT);
+            if time_left.is_zero() {
                 break;
             }
-            match self.ask_one(address, body.clone(), left).await {
+            match self.ask_entry(address, body.clone(), time_left).await {
                 Some(JobAnswer::Stale(known)) => stale = Some(JobAnswer::Stale(known)),
                 Some(answer) => {
                     count(&node.metrics.questions, "answered");
@@ -121,7 +121,7 @@
                 }
                 None => {
                     count(&node.metrics.questions, "passed_over");
-                    self.passed_over().insert(address, node.now() + PASS_OVER_MS);
+                    self.skipped().insert(address, node.now() + SKIP_MS);
                 }
             }
         }
@@ -130,26 +130,31 @@
     }
 
     /// Whom to ask: those that have not answered lately last.
-    fn order(&self, node: &JobNode) -> Vec<SocketAddr> {
+    fn candidates(&self, node: &JobNode) -> Vec<SocketAddr> {
         let (now, own) = (node.now(), node.settings.peer);
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let mut passed_over = self.passed_over();
-        passed_over.retain(|_, until_ms| now < *until_ms);
-        let mut order = node.replicas().query_order(&node.settings.centre, turn);
-        order.retain(|address| *address != own);
-        order.sort_by_key(|address| passed_over.contains_key(address));
-        order
+        let rotation = self.rotation.fetch_add(1, Ordering::Relaxed);
+        let mut skipped = self.skipped();
+        skipped.retain(|_, until_ms| now < *until_ms);
+        let mut candidates = node.replicas().query_order(&node.settings.centre, rotation);
+        candidates.retain(|address| *address != own);
+        candidates.sort_by_key(|address| skipped.contains_key(address));
+        candidates
     }
 
-    async fn ask_one(&self, address: SocketAddr, body: Bytes, left: Duration) -> Option<JobAnswer> {
+    async fn ask_entry(
+        &self,
+        address: SocketAddr,
+        body: Bytes,
+        time_left: Duration,
+    ) -> Option<JobAnswer> {
         let (path, headers) = (QUERY_PATH.to_owned(), HeaderMap::new());
         let call = HttpCall { method: Method::POST, path, headers, body };
-        let answer = self.transport.exchange(address, call, left).await.ok()?;
-        let is_told = answer.status == StatusCode::OK;
-        is_told.then(|| postcard::from_bytes(&answer.body).ok()).flatten()
+        let answer = self.transport.exchange(address, call, time_left).await.ok()?;
+        let is_ok = answer.status == StatusCode::OK;
+        is_ok.then(|| postcard::from_bytes(&answer.body).ok()).flatten()
     }
 
-    fn passed_over(&self) -> MutexGuard<'_, HashMap<SocketAddr, u64>> {
-        self.passed_over.lock().unwrap_or_else(PoisonError::into_inner)
+    fn skipped(&self) -> MutexGuard<'_, HashMap<SocketAddr, u64>> {
+        self.skipped.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -120,7 +120,7 @@
 const CANCELLED: &str = "x";
 const PROGRESS: &str = "p";
 /// Between the job and the mark in the key of a cancellation that has one.
-const MARK: char = '.';
+const DIGEST_SEPARATOR: char = '.';
 const WAVE: &str = "w";
 const LOSSES: &str = "l";
 
@@ -165,8 +165,8 @@
             JobRecord::Progress(job, progress) => {
                 (PROGRESS, job, postcard::to_stdvec(&**progress).ok()?)
             }
-            JobRecord::CancelledBy(job, mark) => {
-                return Some(KeyedRecord { key: tombstone_key(*job, *mark), value: vec![1] });
+            JobRecord::CancelledBy(job, digest) => {
+                return Some(KeyedRecord { key: tombstone_key(*job, *digest), value: vec![1] });
             }
             JobRecord::Dropped(_)
             | JobRecord::TombstoneDropped(..)
@@ -177,8 +177,8 @@
     }
 
     /// The record that drops a cancellation by an entry that did not know the job.
-    pub fn drop_tombstone(job: JobId, mark: OrganisationDigest) -> KeyedRecord {
-        KeyedRecord { key: tombstone_key(job, mark), value: Vec::new() }
+    pub fn drop_tombstone(job: JobId, digest: OrganisationDigest) -> KeyedRecord {
+        KeyedRecord { key: tombstone_key(job, digest), value: Vec::new() }
     }
 
     /// The records that drop every key of a job. The submission goes last: a reader that sees only
@@ -200,12 +200,13 @@
             let lost = postcard::from_bytes(value).ok()?;
             return Some(JobRecord::Losses(service.into(), Arc::new(lost)));
         }
-        if let Some((job, mark)) = key.strip_prefix(CANCELLED).and_then(|key| key.split_once(MARK))
+        if let Some((job, digest)) =
+            key.strip_prefix(CANCELLED).and_then(|key| key.split_once(DIGEST_SEPARATOR))
         {
-            let (job, mark) = (JobId::parse(job)?, OrganisationDigest::parse(mark)?);
+            let (job, digest) = (JobId::parse(job)?, OrganisationDigest::parse(digest)?);
             return Some(match value.is_empty() {
-                true => JobRecord::TombstoneDropped(job, mark),
-                false => JobRecord::CancelledBy(job, mark),
+                true => JobRecord::TombstoneDropped(job, digest),
+                false => JobRecord::CancelledBy(job, digest),
             });
         }
         let job = JobId::parse(key.get(1..)?)?;
@@ -223,17 +224,17 @@
     }
 }
 
-fn tombstone_key(job: JobId, mark: OrganisationDigest) -> String {
-    format!("{CANCELLED}{job}{MARK}{mark}")
+fn tombstone_key(job: JobId, digest: OrganisationDigest) -> String {
+    format!("{CANCELLED}{job}{DIGEST_SEPARATOR}{digest}")
 }
 
 /// Reads a job's progress, also as it was written before its last lists were kept: then they are missing at the
 /// end, and a process of this version that takes over would know nothing of jobs that run.
 fn decode_progress(value: &[u8]) -> Option<JobProgress> {
     const NO_LIST: u8 = 0;
-    let earlier = |lists: &[u8]| postcard::from_bytes(&[value, lists].concat());
+    let decode_with = |lists: &[u8]| postcard::from_bytes(&[value, lists].concat());
     postcard::from_bytes(value)
-        .or_else(|_| earlier(&[NO_LIST]))
-        .or_else(|_| earlier(&[NO_LIST, NO_LIST]))
+        .or_else(|_| decode_with(&[NO_LIST]))
+        .or_else(|_| decode_with(&[NO_LIST, NO_LIST]))
         .ok()
 }
--- a/src/jobs/site.rs
+++ b/src/jobs/site.rs
@@ -116,18 +116,18 @@
 /// start again under their name and tell.
 pub fn incarnation_id(name: &str, started_ms: Option<u64>) -> Arc<str> {
     match started_ms {
-        Some(born) => format!("{name}{LIFE_MARK}{born}").into(),
+        Some(born) => format!("{name}{INCARNATION_SEPARATOR}{born}").into(),
         None => name.into(),
     }
 }
 
 /// Name of the worker whose life this is, as the platform knows it.
 pub fn worker_name(id: &str) -> &str {
-    id.rsplit_once(LIFE_MARK).map_or(id, |(name, _)| name)
+    id.rsplit_once(INCARNATION_SEPARATOR).map_or(id, |(name, _)| name)
 }
 
 /// Between the name and the birth; no name has it.
-const LIFE_MARK: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 
 /// One life of a worker as it reports itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -111,16 +111,17 @@
     let job = book.get(id)?;
     let submission = job.submission.as_ref()?;
     let progress = job.progress.as_ref();
-    let failures = progress.map_or(0, |told| told.tasks.iter().map(|task| task.failures).sum());
+    let failures =
+        progress.map_or(0, |progress| progress.tasks.iter().map(|task| task.failures).sum());
     Some(JobStatus {
         job: id.to_string(),
         queue: submission.queue.clone(),
         state: job.state()?,
         accepted_ms: submission.accepted_ms,
-        ended_ms: progress.map_or(0, |told| told.ended_ms),
-        term: progress.map_or(0, |told| told.term),
+        ended_ms: progress.map_or(0, |progress| progress.ended_ms),
+        term: progress.map_or(0, |progress| progress.term),
         tasks: submission.task_count(),
-        steps_done: progress.map_or(0, |told| told.steps_done.len()),
+        steps_done: progress.map_or(0, |progress| progress.steps_done.len()),
         failures,
         runs: live_runs(id, job),
     })
--- a/src/jobs/submitter.rs
+++ b/src/jobs/submitter.rs
@@ -29,16 +29,16 @@
 /// Submissions that may wait; beyond, callers are refused at once.
 const QUEUE_MAX: usize = 2_048;
 /// Longest time for an append to be answered before it is repeated: a slow log takes 300 ms.
-const APPEND_PATIENCE: Duration = Duration::from_millis(700);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause before an append is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Age of an append without an answer from which callers that wait behind it are refused: their
 /// records have not been sent, so the refusal is true, and they may try another entry.
-const STUCK_AGE: Duration = Duration::from_millis(500);
+const STALLED_APPEND_AGE: Duration = Duration::from_millis(500);
 
 /// Time that appends of each entry's own may stand in line, in milliseconds. Where they would longer, a leader is waited
 /// for: the append by which a successor shuts the others out would stand behind them, and nothing is placed before.
-const OWN_LINE_MAX_MS: u64 = 500;
+const OWN_QUEUE_DELAY_MAX_MS: u64 = 500;
 /// Time for which a leader is waited for: a silence, a claim, and a takeover's first steps.
 const LEADER_WAIT: Duration = Duration::from_millis(1_200);
 /// Leaders that a batch is handed to before it is given up.
@@ -92,7 +92,7 @@
     writer: Arc<str>,
     epoch: u64,
     sequence: u64,
-    patience: TimeoutEstimator,
+    append_timeout: TimeoutEstimator,
 }
 
 /// Starts the submitter's task.
@@ -105,9 +105,9 @@
     let (sender, requests) = mpsc::channel(QUEUE_MAX);
     // A restarted process has forgotten its numbers: it is another writer.
     let writer = format!("{}-{incarnation:x}", node.settings.node).into();
-    let patience = TimeoutEstimator::new(APPEND_PATIENCE);
+    let append_timeout = TimeoutEstimator::new(APPEND_TIMEOUT);
     let submitter =
-        Submitter { node, log, requests, relay, writer, epoch: 1, sequence: 0, patience };
+        Submitter { node, log, requests, relay, writer, epoch: 1, sequence: 0, append_timeout };
     tokio::spawn(submitter.run());
     SubmitHandle { requests: sender }
 }
@@ -117,8 +117,8 @@
         while let Some(first) = self.requests.recv().await {
             let mut bytes = first.keyed.value.len();
             let mut batch = vec![first];
-            let room = self.log.append_limit().min(BATCH_BYTES_MAX);
-            while batch.len() < BATCH_MAX && bytes < room {
+            let bytes_max = self.log.append_limit().min(BATCH_BYTES_MAX);
+            while batch.len() < BATCH_MAX && bytes < bytes_max {
                 let Ok(next) = self.requests.try_recv() else { break };
                 bytes += next.keyed.value.len();
                 batch.push(next);
@@ -133,13 +133,13 @@
         let mut is_in_doubt = false;
         for _ in 0..LEADERS_TRIED {
             match self.relay.store(&self.node, records.clone()).await {
-                RelayOutcome::Stored => return self.finish(batch, None),
+                RelayOutcome::Stored => return self.complete(batch, None),
                 RelayOutcome::NotSent => {}
                 // The leader may have made the append, or may make it yet: a refusal of the log would not be the whole
                 // truth.
                 RelayOutcome::Unknown => is_in_doubt = true,
             }
-            if self.node.own_line_ms() <= OWN_LINE_MAX_MS || !self.node.is_leader_silent() {
+            if self.node.own_line_ms() <= OWN_QUEUE_DELAY_MAX_MS || !self.node.is_leader_silent() {
                 return self.append(batch, is_in_doubt).await;
             }
             if !self.relay.wait_for_leader(&self.node, LEADER_WAIT).await {
@@ -149,8 +149,8 @@
         info!(self.node.logger, "there is no leader to store a batch, and the log has no time for one of each entry";
             "records" => batch.len(), "line_ms" => self.node.own_line_ms());
         let outcome = if is_in_doubt { SubmitOutcome::Unknown } else { SubmitOutcome::Refused };
-        answer(batch, outcome);
-        self.refuse_waiting();
+        answer_all(batch, outcome);
+        self.reject_waiting();
     }
 
     async fn append(&mut self, batch: Vec<SubmitRequest>, is_relayed: bool) {
@@ -168,18 +168,18 @@
         let mut is_in_doubt = is_relayed;
         loop {
             let sent = Instant::now();
-            let outcome = self.log.append(&call, self.patience.timeout()).await;
-            self.patience.record_outcome(outcome, sent.elapsed());
+            let outcome = self.log.append(&call, self.append_timeout.timeout()).await;
+            self.append_timeout.record_outcome(outcome, sent.elapsed());
             match outcome {
                 AppendOutcome::Done { offset, .. } => {
                     self.sequence += 1;
                     self.node.touch();
-                    self.finish(batch, Some(offset));
+                    self.complete(batch, Some(offset));
                     return;
                 }
                 AppendOutcome::Refused if !is_in_doubt => {
                     info!(self.node.logger, "the log refused an append"; "records" => batch.len());
-                    answer(batch, SubmitOutcome::Refused);
+                    answer_all(batch, SubmitOutcome::Refused);
                     return;
                 }
                 AppendOutcome::Refused => {}
@@ -192,7 +192,7 @@
                     warn!(self.node.logger, "the log takes our numbers for wrong";
                         "epoch" => self.epoch, "sequence" => self.sequence);
                     self.next_epoch();
-                    answer(batch, SubmitOutcome::Unknown);
+                    answer_all(batch, SubmitOutcome::Unknown);
                     return;
                 }
             }
@@ -201,10 +201,10 @@
                 self.next_epoch();
                 return;
             }
-            if begun.elapsed() >= STUCK_AGE {
-                self.refuse_waiting();
+            if begun.elapsed() >= STALLED_APPEND_AGE {
+                self.reject_waiting();
             }
-            sleep(REPEAT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -213,28 +213,28 @@
         self.sequence = 0;
     }
 
-    fn refuse_waiting(&mut self) {
+    fn reject_waiting(&mut self) {
         while let Ok(request) = self.requests.try_recv() {
-            answer(vec![request], SubmitOutcome::Refused);
+            answer_all(vec![request], SubmitOutcome::Refused);
         }
     }
 
     /// The entry knows its own submissions before it reads them back. What another entry has appended counts
     /// as appended at the start: all that is read is newer.
-    fn finish(&self, batch: Vec<SubmitRequest>, offset: Option<u64>) {
+    fn complete(&self, batch: Vec<SubmitRequest>, offset: Option<u64>) {
         self.node.stored();
         let records: Vec<(u64, JobRecord)> = (0..)
             .zip(&batch)
-            .map(|(place, request)| {
-                (offset.map_or(0, |first| first + place), request.record.clone())
+            .map(|(position, request)| {
+                (offset.map_or(0, |first| first + position), request.record.clone())
             })
             .collect();
         self.node.fold(&records);
-        answer(batch, SubmitOutcome::Stored);
+        answer_all(batch, SubmitOutcome::Stored);
     }
 }
 
-fn answer(batch: Vec<SubmitRequest>, outcome: SubmitOutcome) {
+fn answer_all(batch: Vec<SubmitRequest>, outcome: SubmitOutcome) {
     for request in batch {
         // A caller that went away needs no answer.
         let _ = request.answer.send(outcome);
--- a/src/jobs/timeout_estimator.rs
+++ b/src/jobs/timeout_estimator.rs
@@ -11,10 +11,10 @@
 use crate::jobs::ports::AppendOutcome;
 
 /// Shortest wait: a process on a part of a core is late by tens of milliseconds itself.
-const PATIENCE_MIN: Duration = Duration::from_millis(150);
+const TIMEOUT_MIN: Duration = Duration::from_millis(150);
 /// Parts of the smoothed time and of its deviation that one answer counts, as in RFC 6298.
-const TIME_PART: u32 = 8;
-const DEVIATION_PART: u32 = 4;
+const TIME_DIVISOR: u32 = 8;
+const DEVIATION_DIVISOR: u32 = 4;
 
 /// Learns from answers how long to wait for the next one.
 #[derive(Clone, Debug)]
@@ -38,12 +38,12 @@
     /// Time to wait for the next answer.
     pub fn timeout(&self) -> Duration {
         let Some((time, deviation)) = self.smoothed else { return self.longest };
-        let wait = (time + deviation * 4).max(PATIENCE_MIN);
-        wait.saturating_mul(1 << self.doublings.min(8)).min(self.longest)
+        let timeout = (time + deviation * 4).max(TIMEOUT_MIN);
+        timeout.saturating_mul(1 << self.doublings.min(8)).min(self.longest)
     }
 
     /// Takes in what became of an append after this time.
-    pub fn record_outcome(&mut self, outcome: AppendOutcome, after: Duration) {
+    pub fn record_outcome(&mut self, outcome: AppendOutcome, elapsed: Duration) {
         match outcome {
             AppendOutcome::Unknown => self.record_timeout(),
             // It may not have reached the log at all.
@@ -51,20 +51,20 @@
             AppendOutcome::Done { .. }
             | AppendOutcome::EndMoved { .. }
             | AppendOutcome::Fenced
-            | AppendOutcome::OutOfSequence => self.record_answer(after),
+            | AppendOutcome::OutOfSequence => self.record_answer(elapsed),
         }
     }
 
     /// An answer came after this time.
-    pub fn record_answer(&mut self, after: Duration) {
+    pub fn record_answer(&mut self, elapsed: Duration) {
         self.doublings = 0;
         self.smoothed = Some(match self.smoothed {
-            None => (after, after / 2),
+            None => (elapsed, elapsed / 2),
             Some((time, deviation)) => {
-                let off = after.abs_diff(time);
-                let part = DEVIATION_PART;
-                let deviation = (deviation * (part - 1) + off) / part;
-                ((time * (TIME_PART - 1) + after) / TIME_PART, deviation)
+                let difference = elapsed.abs_diff(time);
+                let divisor = DEVIATION_DIVISOR;
+                let deviation = (deviation * (divisor - 1) + difference) / divisor;
+                ((time * (TIME_DIVISOR - 1) + elapsed) / TIME_DIVISOR, deviation)
             }
         });
     }
--- a/src/jobs/wave_reporter.rs
+++ b/src/jobs/wave_reporter.rs
@@ -14,9 +14,9 @@
 use crate::jobs::ports::{AppendCall, AppendOutcome, JobLog, LogTopic, WriterStamp};
 
 /// Time for an append to be answered before it is repeated; a slow log takes 300 ms.
-const APPEND_PATIENCE: Duration = Duration::from_millis(700);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause before an append is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Name of the writer on the log; its epoch is the leader's term.
 const WRITER: &str = "waves";
 
@@ -69,13 +69,13 @@
             stamp: Some(stamp),
         };
         loop {
-            match self.log.append(&call, APPEND_PATIENCE).await {
+            match self.log.append(&call, APPEND_TIMEOUT).await {
                 AppendOutcome::Done { .. } => return true,
                 AppendOutcome::Fenced | AppendOutcome::OutOfSequence => return false,
                 outcome => warn!(self.logger, "a wave's status is not on the log yet";
                     "wave" => number, "outcome" => ?outcome),
             }
-            sleep(REPEAT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/tests/access.rs
+++ b/tests/access.rs
@@ -31,8 +31,8 @@
 use tokio::time::{advance, sleep};
 
 /// Time for which a reading counts, by the settings of the stage, and a bit.
-const BOUND: Duration = Duration::from_millis(5_000);
-const PATIENCE: Duration = Duration::from_secs(3);
+const CONFIRMATION_LIMIT: Duration = Duration::from_millis(5_000);
+const TIME_LEFT: Duration = Duration::from_secs(3);
 
 fn organisation(name: &str, keys: &[&str]) -> OrganisationSpec {
     OrganisationSpec {
@@ -55,23 +55,23 @@
 
 /// What a log answers to one read of what operators wrote, and how long it takes.
 #[derive(Clone, Debug)]
-enum Told {
+enum ScriptedAnswer {
     /// These versions, up to the end of the stream or not.
     Versions(Vec<u64>, bool),
     /// A configuration that can't be read.
-    Nonsense,
+    Undecodable,
     Nothing,
 }
 
 /// A log that answers reads as it is told, and takes every append.
 #[derive(Clone, Default)]
-struct ToldLog {
-    answers: Arc<Mutex<VecDeque<(Duration, Told)>>>,
+struct ScriptedLog {
+    answers: Arc<Mutex<VecDeque<(Duration, ScriptedAnswer)>>>,
 }
 
-impl ToldLog {
-    fn tell(&self, delay_ms: u64, told: Told) {
-        let answer = (Duration::from_millis(delay_ms), told);
+impl ScriptedLog {
+    fn script(&self, delay_ms: u64, answer: ScriptedAnswer) {
+        let answer = (Duration::from_millis(delay_ms), answer);
         self.answers.lock().expect("no panic").push_back(answer);
     }
 }
@@ -92,24 +92,24 @@
     }
 }
 
-impl JobLog for ToldLog {
+impl JobLog for ScriptedLog {
     async fn append(&self, call: &AppendCall, _: Duration) -> AppendOutcome {
         AppendOutcome::Done { offset: 0, end: call.records.len() as u64 }
     }
 
     async fn read(&self, _: LogTopic, from: u64, wait: Duration) -> ReadOutcome {
         let next = self.answers.lock().expect("no panic").pop_front();
-        let Some((delay, told)) = next else {
+        let Some((delay, answer)) = next else {
             sleep(wait).await;
             return ReadOutcome::Unknown;
         };
         sleep(delay).await;
-        let (records, is_whole) = match told {
-            Told::Versions(versions, is_whole) => {
+        let (records, is_whole) = match answer {
+            ScriptedAnswer::Versions(versions, is_whole) => {
                 (versions.into_iter().map(record).collect::<Vec<_>>(), is_whole)
             }
-            Told::Nonsense => (vec![record(0)], true),
-            Told::Nothing => return ReadOutcome::Unknown,
+            ScriptedAnswer::Undecodable => (vec![record(0)], true),
+            ScriptedAnswer::Nothing => return ReadOutcome::Unknown,
         };
         let next = from + records.len() as u64;
         let end = if is_whole { next } else { next + 1 };
@@ -123,14 +123,14 @@
 }
 
 struct Entry {
-    desk: CallerService<ToldLog>,
-    follower: OperatorFollower<ToldLog>,
-    log: ToldLog,
+    service: CallerService<ScriptedLog>,
+    follower: OperatorFollower<ScriptedLog>,
+    log: ScriptedLog,
 }
 
 impl Entry {
     fn open() -> Entry {
-        let (node, log) = (idle_node(), ToldLog::default());
+        let (node, log) = (idle_node(), ScriptedLog::default());
         let relay = RelayClient::new(HttpTransport::open());
         let queries = QueryClient::new(HttpTransport::open());
         let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), 1);
@@ -142,28 +142,28 @@
             decoder: decode,
             is_in_the_dark: false,
         };
-        Entry { desk: CallerService { node, reader, submitter, relay, queries }, follower, log }
+        Entry { service: CallerService { node, reader, submitter, relay, queries }, follower, log }
     }
 
     fn node(&self) -> &Arc<JobNode> {
-        &self.desk.node
+        &self.service.node
     }
 
     /// One that has read the first configuration and shown it to be the newest.
     async fn confirmed() -> Entry {
         let mut entry = Entry::open();
         entry.follower.step().await;
-        entry.read(0, Told::Versions(Vec::new(), true)).await;
+        entry.read(0, ScriptedAnswer::Versions(Vec::new(), true)).await;
         entry
     }
 
-    async fn read(&mut self, delay_ms: u64, told: Told) {
-        self.log.tell(delay_ms, told);
+    async fn read(&mut self, delay_ms: u64, answer: ScriptedAnswer) {
+        self.log.script(delay_ms, answer);
         self.follower.step().await;
     }
 
     fn admit(&self, key: PresentedKey) -> Result<CallerAccess, CallerReply> {
-        self.desk.admit(&keyed_queue(), key)
+        self.service.admit(&keyed_queue(), key)
     }
 
     fn code(&self, key: PresentedKey) -> Option<ResultCode> {
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_are_let_in_by_their_keys() {
+async fn callers_are_admitted_by_their_keys() {
     let entry = Entry::confirmed().await;
     let east = CallerAccess { organisation: Some("east".into()) };
     assert_eq!(entry.admit(key("key")), Ok(east));
@@ -193,7 +193,7 @@
 async fn an_open_queue_and_a_site_without_organisations_need_no_key() {
     let entry = Entry::confirmed().await;
     let open = QueueSpec { is_open: true, ..keyed_queue() };
-    assert_eq!(entry.desk.admit(&open, key("guess")), Ok(CallerAccess::default()));
+    assert_eq!(entry.service.admit(&open, key("guess")), Ok(CallerAccess::default()));
     let site = Entry::open();
     site.node().set_config(config());
     assert_eq!(site.admit(PresentedKey::Missing), Ok(CallerAccess::default()));
@@ -204,11 +204,11 @@
 async fn a_revoked_key_is_refused_once_the_revocation_was_read() {
     let mut entry = Entry::confirmed().await;
     assert_eq!(entry.code(key("taken")), None);
-    entry.read(10, Told::Versions(vec![2], true)).await;
+    entry.read(10, ScriptedAnswer::Versions(vec![2], true)).await;
     assert_eq!(entry.code(key("taken")), Some(ResultCode::UnknownApiKey));
     assert_eq!(entry.code(key("key")), None);
     // An older page of the history changes nothing back.
-    entry.read(10, Told::Versions(vec![1], true)).await;
+    entry.read(10, ScriptedAnswer::Versions(vec![1], true)).await;
     assert_eq!(entry.code(key("taken")), Some(ResultCode::UnknownApiKey));
 }
 
@@ -216,29 +216,29 @@
 /// it knows can have been taken away too long ago; then every key gets 503 with a time to come back, as nobody
 /// there can tell whether it still counts, and unknown ones are not called unknown.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_can_not_read_honours_no_key_for_longer_than_the_bound() {
+async fn an_entry_that_can_not_read_the_log_honours_no_key_for_longer_than_the_limit() {
     let mut entry = Entry::confirmed().await;
     let lost = entry.node().now();
     while entry.node().now() < lost + 4_000 {
-        entry.read(100, Told::Nothing).await;
+        entry.read(100, ScriptedAnswer::Nothing).await;
     }
     assert_eq!(entry.code(key("taken")), None);
-    advance(BOUND).await;
+    advance(CONFIRMATION_LIMIT).await;
     assert_eq!(entry.code(key("taken")), Some(ResultCode::KeyUnconfirmed));
     assert_eq!(entry.code(key("guess")), Some(ResultCode::KeyUnconfirmed));
-    let told = entry.admit(key("taken"));
-    assert!(matches!(told, Err(CallerReply::Refused(_, Some(_)))), "{told:?}");
-    entry.read(10, Told::Versions(Vec::new(), true)).await;
+    let answer = entry.admit(key("taken"));
+    assert!(matches!(answer, Err(CallerReply::Refused(_, Some(_)))), "{answer:?}");
+    entry.read(10, ScriptedAnswer::Versions(Vec::new(), true)).await;
     assert_eq!(entry.code(key("taken")), None);
 }
 
 /// The answer to a reading is on its way for 4.5 s, in which the key is taken away. A second after it came the
 /// key must not count any more: the reading is 5.5 s old, however new its answer is.
 #[tokio::test(start_paused = true)]
-async fn a_reading_counts_from_its_start() {
+async fn a_read_counts_from_its_start() {
     let mut entry = Entry::open();
     entry.follower.step().await;
-    entry.read(4_500, Told::Versions(Vec::new(), true)).await;
+    entry.read(4_500, ScriptedAnswer::Versions(Vec::new(), true)).await;
     assert_eq!(entry.code(key("taken")), None);
     advance(Duration::from_secs(1)).await;
     assert_eq!(entry.code(key("taken")), Some(ResultCode::KeyUnconfirmed));
@@ -247,21 +247,21 @@
 /// A process has just started. The pages that it has read of the newest records are no reading of the end: its
 /// first page can be older than a revocation. It honours keys only after it has read on from there.
 #[tokio::test(start_paused = true)]
-async fn a_restarted_entry_honours_no_key_before_it_has_read_on() {
+async fn a_restarted_entry_honours_no_key_before_it_has_read_past_the_snapshot() {
     let mut entry = Entry::open();
     entry.follower.step().await;
     assert!(entry.node().config().is_some());
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
-    entry.read(0, Told::Versions(Vec::new(), true)).await;
+    entry.read(0, ScriptedAnswer::Versions(Vec::new(), true)).await;
     assert_eq!(entry.code(key("key")), None);
 }
 
 /// The history is long: an answer ends before the end of what operators wrote. It shows nothing.
 #[tokio::test(start_paused = true)]
-async fn a_reading_that_stops_short_of_the_end_confirms_nothing() {
+async fn a_read_that_stops_short_of_the_end_confirms_nothing() {
     let mut entry = Entry::confirmed().await;
-    advance(BOUND).await;
-    entry.read(10, Told::Versions(Vec::new(), false)).await;
+    advance(CONFIRMATION_LIMIT).await;
+    entry.read(10, ScriptedAnswer::Versions(Vec::new(), false)).await;
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
 }
 
@@ -270,30 +270,30 @@
 #[tokio::test(start_paused = true)]
 async fn a_configuration_that_can_not_be_read_confirms_no_key() {
     let mut entry = Entry::confirmed().await;
-    entry.read(10, Told::Nonsense).await;
+    entry.read(10, ScriptedAnswer::Undecodable).await;
     let begun = entry.node().now();
     while entry.node().now() < begun + 6_000 {
-        entry.read(50, Told::Versions(Vec::new(), true)).await;
+        entry.read(50, ScriptedAnswer::Versions(Vec::new(), true)).await;
     }
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
-    entry.read(10, Told::Versions(vec![3], true)).await;
+    entry.read(10, ScriptedAnswer::Versions(vec![3], true)).await;
     assert_eq!(entry.code(key("key")), None);
 }
 
 /// Readings of an entry that honours no key don't wait for news, and still there is a pause between them: a log
 /// that has just come back is not asked a thousand times a second by each of its readers.
 #[tokio::test(start_paused = true)]
-async fn an_entry_without_a_counting_reading_does_not_storm_the_log() {
+async fn an_entry_without_a_confirmation_pauses_between_reads() {
     let mut entry = Entry::confirmed().await;
-    entry.read(0, Told::Nonsense).await;
+    entry.read(0, ScriptedAnswer::Undecodable).await;
     for _ in 0..20 {
-        entry.log.tell(0, Told::Versions(Vec::new(), true));
+        entry.log.script(0, ScriptedAnswer::Versions(Vec::new(), true));
         assert!(entry.follower.step().await >= Duration::from_millis(100));
     }
 }
 
 #[test]
-fn keys_count_for_no_longer_than_the_bound_and_always_where_it_is_not_strict() {
+fn keys_are_honoured_up_to_the_limit_and_always_if_it_is_not_strict() {
     let rule = RevocationRule { is_strict: true, bound_ms: 5_000 };
     assert!(rule.may_honour(Some(1_000), 5_000));
     assert!(!rule.may_honour(Some(1_000), 6_000));
@@ -306,9 +306,9 @@
 /// was on its way for 200 ms, which count as well. The entry serves on by that reading, and no longer than by one
 /// of its own.
 #[tokio::test(start_paused = true)]
-async fn another_entrys_reading_counts_from_before_the_question() {
+async fn a_read_of_another_entry_counts_from_its_start() {
     let entry = Entry::confirmed().await;
-    advance(BOUND).await;
+    advance(CONFIRMATION_LIMIT).await;
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
     let asked_ms = entry.node().now();
     advance(Duration::from_millis(200)).await;
@@ -316,7 +316,7 @@
     confirm::apply_answer(entry.node(), answer, asked_ms);
     assert_eq!(entry.node().shown_ms(), Some(asked_ms - 300));
     assert_eq!(entry.code(key("key")), None);
-    advance(BOUND - Duration::from_millis(500)).await;
+    advance(CONFIRMATION_LIMIT - Duration::from_millis(500)).await;
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
 }
 
@@ -325,7 +325,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_newer_configuration_comes_with_the_answer() {
     let (entry, mut other) = (Entry::confirmed().await, Entry::confirmed().await);
-    other.read(10, Told::Versions(vec![2], true)).await;
+    other.read(10, ScriptedAnswer::Versions(vec![2], true)).await;
     let question = postcard::to_stdvec(&ConfirmQuery { version: 1 }).expect("encoded");
     let asked_ms = entry.node().now();
     let body = confirm::answer(other.node(), &question).expect("an answer");
@@ -340,32 +340,35 @@
 /// An organisation's caller asks for, cancels and submits over another one's job. It learns nothing of it and
 /// changes nothing; the owner's other callers may do all of it, and keys that come and go change no owner.
 #[tokio::test(start_paused = true)]
-async fn nobody_reaches_into_another_organisations_jobs() {
+async fn callers_cannot_access_jobs_of_another_organisation() {
     let entry = Entry::confirmed().await;
-    let (desk, queue) = (&entry.desk, keyed_queue());
+    let (service, queue) = (&entry.service, keyed_queue());
     let east = entry.admit(key("taken")).expect("let in");
     let west = entry.admit(key("spare")).expect("let in");
     let spec = || job(vec![step(1)]);
     entry.node().touch();
-    let (id, gone) = (job_id(1), CallerReply::Refused(ResultCode::UnknownJob, None));
-    assert_eq!(desk.submit(&queue, &east, id, spec(), PATIENCE).await, CallerReply::Stored);
-    assert_eq!(desk.job_state(&west, id).await, gone);
-    assert_eq!(desk.job_state(&CallerAccess::default(), id).await, gone);
-    assert_eq!(desk.cancel(&queue, &west, id, PATIENCE).await, gone);
-    let taken = CallerReply::Refused(ResultCode::JobIdTaken, None);
-    assert_eq!(desk.submit(&queue, &west, id, spec(), PATIENCE).await, taken);
+    let (id, unknown) = (job_id(1), CallerReply::Refused(ResultCode::UnknownJob, None));
+    assert_eq!(service.submit(&queue, &east, id, spec(), TIME_LEFT).await, CallerReply::Stored);
+    assert_eq!(service.job_state(&west, id).await, unknown);
+    assert_eq!(service.job_state(&CallerAccess::default(), id).await, unknown);
+    assert_eq!(service.cancel(&queue, &west, id, TIME_LEFT).await, unknown);
+    let id_taken = CallerReply::Refused(ResultCode::JobIdTaken, None);
+    assert_eq!(service.submit(&queue, &west, id, spec(), TIME_LEFT).await, id_taken);
     entry.node().set_config(keyed_config(2, &["key"], &["spare"]));
     let east = entry.admit(key("key")).expect("let in");
-    assert_eq!(desk.job_state(&east, id).await, CallerReply::State(JobState::Queued));
-    assert_eq!(desk.cancel(&queue, &east, id, PATIENCE).await, CallerReply::Stored);
+    assert_eq!(service.job_state(&east, id).await, CallerReply::State(JobState::Queued));
+    assert_eq!(service.cancel(&queue, &east, id, TIME_LEFT).await, CallerReply::Stored);
     // A job of a queue that is open to all belongs to nobody.
     let open = CallerAccess::default();
-    assert_eq!(desk.submit(&queue, &open, job_id(2), spec(), PATIENCE).await, CallerReply::Stored);
-    assert_eq!(desk.job_state(&west, job_id(2)).await, CallerReply::State(JobState::Queued));
+    assert_eq!(
+        service.submit(&queue, &open, job_id(2), spec(), TIME_LEFT).await,
+        CallerReply::Stored
+    );
+    assert_eq!(service.job_state(&west, job_id(2)).await, CallerReply::State(JobState::Queued));
 }
 
 #[test]
-fn a_digest_tells_nothing_in_a_log_line() {
+fn debug_output_hides_api_keys() {
     assert_eq!(format!("{:?}", KeyDigest::of("secret")), "KeyDigest");
     let book = AccessTable::from(vec![organisation("east", &["secret"])]);
     assert!(!format!("{book:?}").contains("secret"));
--- a/tests/caller_service.rs
+++ b/tests/caller_service.rs
@@ -30,9 +30,9 @@
 
 /// A log that takes every append.
 #[derive(Clone)]
-struct WellLog;
+struct WorkingLog;
 
-impl JobLog for WellLog {
+impl JobLog for WorkingLog {
     async fn append(&self, call: &AppendCall, _: Duration) -> AppendOutcome {
         sleep(APPEND_TIME).await;
         AppendOutcome::Done { offset: 0, end: call.records.len() as u64 }
@@ -47,14 +47,14 @@
     }
 }
 
-fn desk() -> CallerService<WellLog> {
+fn service() -> CallerService<WorkingLog> {
     let logger = ibisweir::logging::silent();
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
     node.touch();
     let relay = RelayClient::new(HttpTransport::open());
     let queries = QueryClient::new(HttpTransport::open());
-    let submitter = submitter::spawn(node.clone(), WellLog, relay.clone(), 1);
-    let reader = Arc::new(CatchUpReader::new(node.clone(), WellLog));
+    let submitter = submitter::spawn(node.clone(), WorkingLog, relay.clone(), 1);
+    let reader = Arc::new(CatchUpReader::new(node.clone(), WorkingLog));
     CallerService { node, reader, submitter, relay, queries }
 }
 
@@ -62,11 +62,11 @@
 /// its job is stored. Before, all of its time was kept for the way back: it was told at once that the
 /// outcome is not known, and the job was stored a moment later.
 #[tokio::test(start_paused = true)]
-async fn a_caller_with_little_time_left_is_served_in_it() {
+async fn a_caller_with_little_time_left_gets_the_outcome_in_time() {
     let queue = queue(QUEUE, POOL);
-    let patience = Duration::from_millis(100);
+    let time_left = Duration::from_millis(100);
     let caller = CallerAccess::default();
-    let reply = desk().submit(&queue, &caller, job_id(1), job(vec![step(1)]), patience).await;
+    let reply = service().submit(&queue, &caller, job_id(1), job(vec![step(1)]), time_left).await;
     assert_eq!(reply, CallerReply::Stored);
 }
 
@@ -74,26 +74,26 @@
 /// it is told that this entry is behind and when to come back, not the tenth that was read so far. Once the
 /// entry has come to the log's end it counts.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_behind_the_log_counts_nothing() {
-    let (desk, queue) = (desk(), queue(QUEUE, POOL));
+async fn an_entry_behind_the_log_refuses_to_count() {
+    let (service, queue) = (service(), queue(QUEUE, POOL));
     // A busy machine can make the log's last answer old between two lines; then the log counts as away.
     let is_behind = |reply| matches!(reply, CallerReply::Refused(ResultCode::BehindLog, Some(_)));
-    let has_told = (0..100).any(|_| {
-        desk.node.touch();
-        let reply = desk.own_waiting_jobs(&queue);
+    let is_refused = (0..100).any(|_| {
+        service.node.touch();
+        let reply = service.own_waiting_jobs(&queue);
         assert!(!matches!(reply, CallerReply::Waiting(_)), "{reply:?}");
         is_behind(reply)
     });
-    assert!(has_told);
-    let has_counted = (0..100).any(|_| {
-        desk.node.set_current();
-        desk.own_waiting_jobs(&queue) == CallerReply::Waiting(0)
+    assert!(is_refused);
+    let is_counted = (0..100).any(|_| {
+        service.node.set_current();
+        service.own_waiting_jobs(&queue) == CallerReply::Waiting(0)
     });
-    assert!(has_counted);
+    assert!(is_counted);
 }
 
 /// A leader that does not know the job that it is asked for.
-async fn unknowing_leader() -> SocketAddr {
+async fn leader_without_the_job() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn a_job_that_the_leader_does_not_know_may_exist() {
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), silent()));
-    node.set_leader(Some(unknowing_leader().await));
+    node.set_leader(Some(leader_without_the_job().await));
     while !node.is_turned_away() {
         sleep(Duration::from_millis(1)).await;
         node.turned_away();
@@ -120,8 +120,11 @@
     let queries = QueryClient::new(HttpTransport::open());
     let submitter = submitter::spawn(node.clone(), UnreachableLog, relay.clone(), 1);
     let reader = Arc::new(CatchUpReader::new(node.clone(), UnreachableLog));
-    let desk = CallerService { node, reader, submitter, relay, queries };
-    let reply = desk.job_state(&CallerAccess::default(), job_id(1)).await;
-    let is_open = |code| matches!(code, ResultCode::LogAway | ResultCode::BehindLog);
-    assert!(matches!(reply, CallerReply::Refused(code, Some(_)) if is_open(code)), "{reply:?}");
+    let service = CallerService { node, reader, submitter, relay, queries };
+    let reply = service.job_state(&CallerAccess::default(), job_id(1)).await;
+    let is_retryable = |code| matches!(code, ResultCode::LogAway | ResultCode::BehindLog);
+    assert!(
+        matches!(reply, CallerReply::Refused(code, Some(_)) if is_retryable(code)),
+        "{reply:?}"
+    );
 }
--- a/tests/catch_up.rs
+++ b/tests/catch_up.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Default)]
 struct SlowLog {
     reads: Arc<AtomicUsize>,
-    is_away: bool,
+    is_unavailable: bool,
 }
 
 fn submitted(id: u64) -> KeyedRecord {
@@ -41,7 +41,7 @@
     async fn read(&self, _: LogTopic, from: u64, _: Duration) -> ReadOutcome {
         self.reads.fetch_add(1, Ordering::Relaxed);
         sleep(READ_TIME).await;
-        if self.is_away {
+        if self.is_unavailable {
             return ReadOutcome::Unknown;
         }
         let records = vec![(from, submitted(from))];
@@ -62,16 +62,16 @@
 /// from one read or two of the log. With a read each, the link would carry the same records fifty
 /// times, every caller be told that the log is away, and the entry fall further behind.
 #[tokio::test(start_paused = true)]
-async fn callers_that_ask_together_share_one_read_of_the_log() {
+async fn callers_that_ask_at_the_same_time_share_reads_of_the_log() {
     let log = SlowLog::default();
     let reader = Arc::new(CatchUpReader::new(node(), log.clone()));
-    let asked: Vec<_> = (0..50)
+    let requests: Vec<_> = (0..50)
         .map(|_| {
             let reader = reader.clone();
             tokio::spawn(async move { reader.catch_up().await })
         })
         .collect();
-    for answer in asked {
+    for answer in requests {
         assert!(answer.await.expect("no panic"));
     }
     assert!(log.reads.load(Ordering::Relaxed) <= 2);
@@ -80,7 +80,7 @@
 /// A caller asks while a read is under way that began before it. The job may have been accepted since
 /// that read began, so it is told that there is no such job only after another read.
 #[tokio::test(start_paused = true)]
-async fn a_read_that_began_before_the_question_does_not_answer_it() {
+async fn a_read_that_began_before_the_request_does_not_answer_it() {
     let log = SlowLog::default();
     let reader = Arc::new(CatchUpReader::new(node(), log.clone()));
     let first = {
@@ -95,17 +95,17 @@
 
 /// The log can't be read: every caller is told so within its time, also those that wait for others.
 #[tokio::test(start_paused = true)]
-async fn callers_are_told_in_time_that_the_log_is_away() {
-    let log = SlowLog { is_away: true, ..SlowLog::default() };
+async fn callers_learn_in_time_that_the_log_is_unavailable() {
+    let log = SlowLog { is_unavailable: true, ..SlowLog::default() };
     let reader = Arc::new(CatchUpReader::new(node(), log));
-    let asked: Vec<_> = (0..50)
+    let requests: Vec<_> = (0..50)
         .map(|_| {
             let reader = reader.clone();
             tokio::spawn(async move { reader.catch_up().await })
         })
         .collect();
     let begun = tokio::time::Instant::now();
-    for answer in asked {
+    for answer in requests {
         assert!(!answer.await.expect("no panic"));
     }
     assert!(begun.elapsed() <= Duration::from_secs(1));
@@ -113,20 +113,20 @@
 
 /// A log with one record, whose first answers come without it though they tell of its end.
 #[derive(Clone, Default)]
-struct HaltingLog {
+struct EmptyAnswerLog {
     reads: Arc<AtomicUsize>,
-    bare_answers: usize,
+    empty_answers: usize,
 }
 
-impl JobLog for HaltingLog {
+impl JobLog for EmptyAnswerLog {
     async fn append(&self, _: &AppendCall, _: Duration) -> AppendOutcome {
         AppendOutcome::Refused
     }
 
     async fn read(&self, _: LogTopic, from: u64, _: Duration) -> ReadOutcome {
         sleep(Duration::from_millis(1)).await;
-        let is_bare = self.reads.fetch_add(1, Ordering::Relaxed) < self.bare_answers;
-        let (records, next) = match (is_bare, from) {
+        let is_empty = self.reads.fetch_add(1, Ordering::Relaxed) < self.empty_answers;
+        let (records, next) = match (is_empty, from) {
             (false, 0) => (vec![(0, submitted(7))], 1),
             _ => (Vec::new(), from),
         };
@@ -142,11 +142,11 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_without_records_is_not_the_end_of_the_log() {
     let node = node();
-    let log = HaltingLog { bare_answers: 3, ..HaltingLog::default() };
+    let log = EmptyAnswerLog { empty_answers: 3, ..EmptyAnswerLog::default() };
     assert!(CatchUpReader::new(node.clone(), log).catch_up().await);
     assert!(is_known(&node, job_id(7)));
     let node = self::node();
-    let log = HaltingLog { bare_answers: usize::MAX, ..HaltingLog::default() };
+    let log = EmptyAnswerLog { empty_answers: usize::MAX, ..EmptyAnswerLog::default() };
     assert!(!CatchUpReader::new(node.clone(), log).catch_up().await);
     assert!(!node.is_current());
 }
@@ -159,7 +159,7 @@
 /// dropped since; the other, answered later, has seen only the job. Taken in again the job would be
 /// one that has not begun, and the next leader would run it once more.
 #[test]
-fn a_read_that_is_answered_late_brings_no_dropped_job_back() {
+fn a_late_answer_does_not_restore_a_dropped_job() {
     let node = node();
     let dropped = JobRecord::drop_records(job_id(7)).pop().expect("the submission's key");
     let whole = vec![(0, submitted(7)), (1, dropped)];
--- a/tests/job_records.rs
+++ b/tests/job_records.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn setbacks_of_a_task_are_read_back() {
+fn restart_counts_of_a_task_can_be_decoded() {
     let losses = LossCount { total: 2, at_start: 1 };
     let restarts = vec![TaskRestarts { occurrence: 0, step: 0, index: 3, losses, moves: 1 }];
     let record = JobRecord::Progress(job_id(1), Arc::new(progress(restarts)));
@@ -47,7 +47,7 @@
 
 /// Guards against a successor that knows nothing of what was lost in a pool, as the record can't be read back.
 #[test]
-fn losses_of_a_pool_are_read_back() {
+fn losses_of_a_pool_can_be_decoded() {
     let address = SocketAddr::from(([127, 0, 0, 2], 9_000));
     let lost = LostVm { address, lost_ms: 1_700, running_tasks: vec![task(job_id(4), 0, 1)] };
     let record = JobRecord::Losses("render".into(), Arc::new(vec![lost]));
@@ -59,22 +59,22 @@
 /// An entry of this version takes over from one that kept no count of lost workers. Its records end before that
 /// list. Taken for malformed, they would hide every run that is alive, and callers' tasks would run twice.
 #[test]
-fn a_record_from_before_setbacks_were_kept_is_read_as_one_without() {
+fn a_record_without_restart_counts_can_be_decoded() {
     let record = JobRecord::Progress(job_id(1), Arc::new(progress(Vec::new())));
     let keyed = record.encode().expect("a record");
-    let (before, lists) = keyed.value.split_at(keyed.value.len() - 2);
-    assert_eq!(lists, [0, 0], "each empty list is one byte");
+    let (before, empty_lists) = keyed.value.split_at(keyed.value.len() - 2);
+    assert_eq!(empty_lists, [0, 0], "each empty list is one byte");
     assert_eq!(JobRecord::decode(&keyed.key, before), Some(record));
 }
 
 /// Guards against a successor that knows nothing of jobs of which an earlier version wrote, and against an entry of that
 /// version that knows nothing of those of this one.
 #[test]
-fn a_record_is_read_without_the_times_of_last_runs() {
+fn a_record_without_the_times_of_last_runs_can_be_decoded() {
     let losses = LossCount { total: 2, at_start: 1 };
     let restarts = vec![TaskRestarts { occurrence: 0, step: 0, index: 3, losses, moves: 1 }];
-    let told = JobProgress { last_alive_ms: Vec::new(), ..progress(restarts) };
-    let record = JobRecord::Progress(job_id(1), Arc::new(told));
+    let without_times = JobProgress { last_alive_ms: Vec::new(), ..progress(restarts) };
+    let record = JobRecord::Progress(job_id(1), Arc::new(without_times));
     let keyed = record.encode().expect("a record");
     let (last, before) = keyed.value.split_last().expect("not empty");
     assert_eq!(*last, 0, "the empty list is one byte");
@@ -87,7 +87,7 @@
 /// Guards against a cancellation by an entry of an earlier version that is not read, and one of this version that such
 /// an entry does not read: where nobody needs a key the record is the same.
 #[test]
-fn a_cancellation_is_written_as_it_always_was() {
+fn a_cancellation_is_encoded_as_in_earlier_versions() {
     let keyed = JobRecord::Cancelled(job_id(1)).encode().expect("a record");
     let before = KeyedRecord { key: "x0000000000000001".to_owned(), value: vec![1] };
     assert_eq!(keyed, before);
@@ -96,18 +96,18 @@
 
 /// Guards against a cancellation of one organisation that replaces another's, or is never dropped.
 #[test]
-fn a_cancellation_that_has_a_mark_has_a_key_of_its_own() {
+fn a_cancellation_with_an_organisation_digest_has_its_own_key() {
     let name = |name: &str| OrganisationDigest::of(Some(&name.into()));
-    let marks =
+    let digests =
         [OrganisationDigest::of(None), name("east"), name("a name, of \"several\" words & more")];
     let mut keys = vec![JobRecord::Cancelled(job_id(1)).encode().expect("a record").key];
-    for mark in marks {
-        let record = JobRecord::CancelledBy(job_id(1), mark);
+    for digest in digests {
+        let record = JobRecord::CancelledBy(job_id(1), digest);
         let keyed = record.encode().expect("a record");
         assert_eq!(JobRecord::decode(&keyed.key, &keyed.value), Some(record));
-        let drop = JobRecord::drop_tombstone(job_id(1), mark);
+        let drop = JobRecord::drop_tombstone(job_id(1), digest);
         assert_eq!(drop.key, keyed.key);
-        let dropped = JobRecord::TombstoneDropped(job_id(1), mark);
+        let dropped = JobRecord::TombstoneDropped(job_id(1), digest);
         assert_eq!(JobRecord::decode(&drop.key, &drop.value), Some(dropped));
         assert!(!keys.contains(&keyed.key));
         keys.push(keyed.key);
--- a/tests/job_table_model.rs
+++ b/tests/job_table_model.rs
@@ -27,19 +27,19 @@
 use support::fakes::idle_node;
 use support::sim::{QUEUE, job, job_id, step, submission};
 
-const RUNS: u64 = 400;
+const SEEDS: u64 = 400;
 const STEPS: usize = 60;
 const JOBS: u64 = 8;
 /// Keys on a page.
 const PAGE: usize = 3;
 
 /// The log, and who writes to it.
-struct World {
+struct ModelSite {
     records: Vec<KeyedRecord>,
     /// Oldest record that is kept.
     first: usize,
     /// All of it, folded in order.
-    told: JobTable,
+    expected: JobTable,
     random: StdRng,
     node: Arc<JobNode>,
     /// Whether the entry leads: it alone ends and drops jobs then.
@@ -49,27 +49,27 @@
 
 /// How the entry has stored a record.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum StoreMethod {
     /// Another entry has.
-    Foreign,
+    OtherEntry,
     /// By an append of its own.
-    Direct,
+    OwnAppend,
     /// Through the leader, at an offset that it is not told.
     Relayed,
     /// As the leader.
-    Leading,
+    Leader,
 }
 
-impl World {
-    fn write(&mut self, records: Vec<KeyedRecord>, folded: &JobRecord, way: Way) {
+impl ModelSite {
+    fn write(&mut self, records: Vec<KeyedRecord>, folded: &JobRecord, method: StoreMethod) {
         let offset = self.records.len() as u64;
-        self.told.fold(folded, offset);
+        self.expected.fold(folded, offset);
         self.records.extend(records);
-        match way {
-            Way::Foreign => {}
-            Way::Direct => self.node.fold(&[(offset, folded.clone())]),
-            Way::Relayed => self.node.fold(&[(0, folded.clone())]),
-            Way::Leading => {
+        match method {
+            StoreMethod::OtherEntry => {}
+            StoreMethod::OwnAppend => self.node.fold(&[(offset, folded.clone())]),
+            StoreMethod::Relayed => self.node.fold(&[(0, folded.clone())]),
+            StoreMethod::Leader => {
                 let end = self.records.len() as u64;
                 self.node.fold_own(std::slice::from_ref(folded), offset, end);
                 // The caller's entry may be the same.
@@ -80,23 +80,23 @@
         }
     }
 
-    fn act(&mut self) {
+    fn write_randomly(&mut self) {
         let id = job_id(self.random.random_range(0..JOBS));
-        let own = match (self.leads, self.random.random_range(0..4)) {
-            (true, 0..2) => Way::Leading,
-            (false, 0) => Way::Direct,
-            (false, 1) => Way::Relayed,
-            _ => Way::Foreign,
+        let as_entry = match (self.leads, self.random.random_range(0..4)) {
+            (true, 0..2) => StoreMethod::Leader,
+            (false, 0) => StoreMethod::OwnAppend,
+            (false, 1) => StoreMethod::Relayed,
+            _ => StoreMethod::OtherEntry,
         };
-        let leading = if self.leads { Way::Leading } else { Way::Foreign };
-        let state = self.told.get(id).and_then(|job| job.state());
+        let as_leader = if self.leads { StoreMethod::Leader } else { StoreMethod::OtherEntry };
+        let state = self.expected.get(id).and_then(|job| job.state());
         let mark = OrganisationDigest::of(None);
-        let (record, way) = match self.random.random_range(0..10) {
-            0..3 => (JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)])))), own),
-            3 => (JobRecord::Cancelled(id), own),
-            4 => (JobRecord::CancelledBy(id, mark), own),
-            5 | 6 if state.is_some() => (ended(id), leading),
-            7 if state.is_none_or(JobState::is_final) => (JobRecord::Dropped(id), leading),
+        let (record, method) = match self.random.random_range(0..10) {
+            0..3 => (JobRecord::Submitted(id, Arc::new(submission(job(vec![step(1)])))), as_entry),
+            3 => (JobRecord::Cancelled(id), as_entry),
+            4 => (JobRecord::CancelledBy(id, mark), as_entry),
+            5 | 6 if state.is_some() => (completed(id), as_leader),
+            7 if state.is_none_or(JobState::is_final) => (JobRecord::Dropped(id), as_leader),
             8 => {
                 self.first = self.records.len();
                 return;
@@ -111,11 +111,11 @@
             }
             record => vec![record.encode().expect("no drop")],
         };
-        self.write(records, &record, way);
+        self.write(records, &record, method);
     }
 }
 
-fn ended(id: JobId) -> JobRecord {
+fn completed(id: JobId) -> JobRecord {
     let progress = JobProgress {
         term: 1,
         state: JobState::Completed,
@@ -131,52 +131,52 @@
 }
 
 #[derive(Clone)]
-struct WorldLog(Arc<Mutex<World>>);
+struct ModelLog(Arc<Mutex<ModelSite>>);
 
-impl WorldLog {
-    fn world(&self) -> MutexGuard<'_, World> {
+impl ModelLog {
+    fn site(&self) -> MutexGuard<'_, ModelSite> {
         self.0.lock().expect("no panic")
     }
 
     /// What happens before or after an answer is made.
-    fn meanwhile(&self) {
-        let mut world = self.world();
-        let acts = if world.is_quiet { 0 } else { world.random.random_range(0..4) };
-        for _ in 0..acts {
-            world.act();
+    fn write_concurrently(&self) {
+        let mut site = self.site();
+        let writes = if site.is_quiet { 0 } else { site.random.random_range(0..4) };
+        for _ in 0..writes {
+            site.write_randomly();
         }
     }
 }
 
-impl JobLog for WorldLog {
+impl JobLog for ModelLog {
     async fn append(&self, _: &AppendCall, _: Duration) -> AppendOutcome {
         AppendOutcome::Refused
     }
 
     async fn read(&self, _: LogTopic, from: u64, _: Duration) -> ReadOutcome {
         let answer = {
-            let world = self.world();
+            let site = self.site();
             let at = usize::try_from(from).expect("small");
-            if at < world.first {
-                return ReadOutcome::Expired { first: world.first as u64 };
+            if at < site.first {
+                return ReadOutcome::Expired { first: site.first as u64 };
             }
             let records: Vec<_> =
-                (from..).zip(world.records[at..].iter().take(5).cloned()).collect();
+                (from..).zip(site.records[at..].iter().take(5).cloned()).collect();
             let next = from + records.len() as u64;
-            ReadOutcome::Read(LogBatch { end: world.records.len() as u64, next, records })
+            ReadOutcome::Read(LogBatch { end: site.records.len() as u64, next, records })
         };
-        self.meanwhile();
+        self.write_concurrently();
         answer
     }
 
     async fn newest(&self, _: LogTopic, after: Option<&str>) -> Option<NewestPage> {
         let page = {
-            let mut world = self.world();
-            if !world.is_quiet && world.random.random_range(0..8) == 0 {
+            let mut site = self.site();
+            if !site.is_quiet && site.random.random_range(0..8) == 0 {
                 return None;
             }
             let mut newest = BTreeMap::new();
-            for (offset, record) in (0..).zip(&world.records) {
+            for (offset, record) in (0..).zip(&site.records) {
                 newest.insert(record.key.as_str(), (offset, record.clone()));
             }
             newest.retain(|key, (_, record)| {
@@ -184,16 +184,16 @@
             });
             let has_more = newest.len() > PAGE;
             let records = newest.into_values().take(PAGE).collect();
-            NewestPage { records, has_more, end: world.records.len() as u64 }
+            NewestPage { records, has_more, end: site.records.len() as u64 }
         };
-        self.meanwhile();
+        self.write_concurrently();
         Some(page)
     }
 }
 
 /// Reads on with one of two readers, or as a caller's question does.
-async fn read(log: &WorldLog, tails: &mut [TailReader], node: &Arc<JobNode>) {
-    let choice = log.world().random.random_range(0..tails.len() + 1);
+async fn read(log: &ModelLog, tails: &mut [TailReader], node: &Arc<JobNode>) {
+    let choice = log.site().random.random_range(0..tails.len() + 1);
     let Some(tail) = tails.get_mut(choice) else {
         CatchUpReader::new(node.clone(), log.clone()).catch_up().await;
         return;
@@ -206,37 +206,41 @@
 /// Guards against a job that an entry takes for open, for over or for unknown against what the log says, however its
 /// readings fall in with what is written.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_has_read_the_log_tells_what_it_says() {
+async fn the_job_table_matches_the_log_after_random_reads_and_writes() {
     let mut pinned = 0xB00C;
     support::seeded(pinned, |seed| pinned = seed);
-    for seed in pinned..pinned + RUNS {
+    for seed in pinned..pinned + SEEDS {
         let node = idle_node();
-        let world = World {
+        let site = ModelSite {
             records: Vec::new(),
             first: 0,
-            told: JobTable::default(),
+            expected: JobTable::default(),
             random: StdRng::seed_from_u64(seed),
             node: node.clone(),
             leads: seed % 2 == 0,
             is_quiet: false,
         };
-        let log = WorldLog(Arc::new(Mutex::new(world)));
+        let log = ModelLog(Arc::new(Mutex::new(site)));
         let mut tails = [TailReader::new(LogTopic::Jobs), TailReader::new(LogTopic::Jobs)];
         for _ in 0..STEPS {
-            log.meanwhile();
+            log.write_concurrently();
             read(&log, &mut tails, &node).await;
         }
-        log.world().is_quiet = true;
+        log.site().is_quiet = true;
         for _ in 0..100 {
             read(&log, &mut tails, &node).await;
         }
-        let world = log.world();
-        assert_eq!(node.book_end(), world.records.len() as u64, "seed {seed}: not read");
+        let site = log.site();
+        assert_eq!(node.book_end(), site.records.len() as u64, "seed {seed}: not read");
         for id in (0..JOBS).map(job_id) {
-            let told = world.told.get(id).and_then(|job| job.state());
+            let expected = site.expected.get(id).and_then(|job| job.state());
             let known = node.book().get(id).and_then(|job| job.state());
-            assert_eq!(known, told, "seed {seed}: {id}");
+            assert_eq!(known, expected, "seed {seed}: {id}");
         }
-        assert_eq!(node.book().waiting_jobs(QUEUE), world.told.waiting_jobs(QUEUE), "seed {seed}");
+        assert_eq!(
+            node.book().waiting_jobs(QUEUE),
+            site.expected.waiting_jobs(QUEUE),
+            "seed {seed}"
+        );
     }
 }
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -10,15 +10,15 @@
 use support::sim::{SchedulerSim, config, job, job_id, step, submission, task, worker};
 
 /// A job that is over, and all that the log has of it after a while.
-fn over() -> (SchedulerSim, Vec<(u64, JobRecord)>) {
+fn finished_job() -> (SchedulerSim, Vec<(u64, JobRecord)>) {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(1)]));
     sim.end(task(id, 0, 0), ExitKind::Done);
     sim.advance(1_000);
     assert_eq!(sim.state(id), Some(JobState::Completed));
-    let entry = sim.book.get(id).expect("known");
-    let submission = entry.submission.clone().expect("submitted");
-    let progress = entry.progress.clone().expect("it was begun");
+    let logged = sim.book.get(id).expect("known");
+    let submission = logged.submission.clone().expect("submitted");
+    let progress = logged.progress.clone().expect("it was begun");
     let newest =
         vec![(8, JobRecord::Progress(id, progress)), (9, JobRecord::Submitted(id, submission))];
     (sim, newest)
@@ -27,15 +27,15 @@
 /// An entry restarts on a narrow link and reads the newest record of each key. Of jobs that are over it needs the
 /// state alone: their specs, nine tenths of all bytes, are off the log, and callers are told the same.
 #[test]
-fn specs_of_jobs_that_are_over_leave_the_log() {
-    let (_, newest) = over();
+fn specs_of_finished_jobs_are_removed_from_the_log() {
+    let (_, newest) = finished_job();
     let mut book = JobTable::default();
     for (offset, record) in &newest {
         book.fold(record, *offset);
     }
-    let entry = book.get(job_id(1)).expect("known");
-    assert_eq!(entry.state(), Some(JobState::Completed));
-    let submission = entry.submission.as_ref().expect("kept");
+    let logged = book.get(job_id(1)).expect("known");
+    assert_eq!(logged.state(), Some(JobState::Completed));
+    let submission = logged.submission.as_ref().expect("kept");
     assert!(submission.has_no_spec());
     assert_eq!(submission.task_count(), 1, "operators are still shown how many tasks it had");
 }
@@ -44,7 +44,7 @@
 /// submission, with its spec, comes seconds later.
 #[test]
 fn a_successor_starts_nothing_of_a_job_without_its_spec() {
-    let (mut sim, _) = over();
+    let (mut sim, _) = finished_job();
     sim.take_over(2, config());
     let repeat = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
     sim.append(&repeat);
@@ -57,10 +57,10 @@
 /// A record without a spec reaches a leader that does not know its job. It is no submission: completed at once, for
 /// want of any task, the job would be shown as done though nobody handed it in.
 #[test]
-fn a_record_without_a_spec_is_no_new_job() {
+fn a_record_without_a_spec_creates_no_job() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
-    let bare = submission(job(vec![step(1)])).without_spec();
-    sim.scheduler.apply_record(&JobRecord::Submitted(job_id(7), Arc::new(bare)), sim.now);
+    let remainder = submission(job(vec![step(1)])).without_spec();
+    sim.scheduler.apply_record(&JobRecord::Submitted(job_id(7), Arc::new(remainder)), sim.now);
     sim.advance(1_000);
     assert_eq!(sim.scheduler.stats().jobs, 0);
     assert_eq!(sim.state(job_id(7)), None);
@@ -69,15 +69,15 @@
 /// A cancelled job's run is still being stopped. Its spec is needed until that is over, as a successor must know
 /// what the run takes on its worker.
 #[test]
-fn a_spec_stays_until_nothing_of_its_job_runs() {
+fn a_spec_is_kept_until_no_task_of_its_job_runs() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     sim.workers.get_mut("w0").expect("known").stop_ms = 800;
     let id = sim.submit(1, job(vec![step(1)]));
     sim.append(&JobRecord::Cancelled(id));
     sim.advance(300);
     let has_no_spec = |sim: &SchedulerSim| {
-        let entry = sim.book.get(id).expect("known");
-        entry.submission.as_ref().expect("submitted").has_no_spec()
+        let logged = sim.book.get(id).expect("known");
+        logged.submission.as_ref().expect("submitted").has_no_spec()
     };
     assert!(!has_no_spec(&sim));
     sim.advance(2_000);
--- a/tests/submitter.rs
+++ b/tests/submitter.rs
@@ -20,9 +20,9 @@
 
 /// A log that counts the appends of entries.
 #[derive(Clone, Default)]
-struct CountedLog(Arc<AtomicUsize>);
+struct CountingLog(Arc<AtomicUsize>);
 
-impl JobLog for CountedLog {
+impl JobLog for CountingLog {
     async fn append(&self, call: &AppendCall, _: Duration) -> AppendOutcome {
         self.0.fetch_add(1, Ordering::Relaxed);
         AppendOutcome::Done { offset: 0, end: call.records.len() as u64 }
@@ -38,8 +38,8 @@
 }
 
 /// One of so many entries, on a log that takes so long for an append; nobody leads.
-async fn entry(entries: u32, append_ms: u64) -> (Arc<JobNode>, CountedLog, SubmitHandle) {
-    let (node, log) = (idle_node(), CountedLog::default());
+async fn entry(entries: u32, append_ms: u64) -> (Arc<JobNode>, CountingLog, SubmitHandle) {
+    let (node, log) = (idle_node(), CountingLog::default());
     node.set_replicas(&ReplicaList { entries, ..ReplicaList::default() }, true);
     node.set_append_ms(append_ms, None);
     sleep(Duration::from_secs(1)).await;
@@ -57,7 +57,7 @@
 /// Guards against a successor whose first append stands behind one of every other entry, so that nothing is placed for
 /// seconds: hundreds of entries, or a slow log.
 #[tokio::test(start_paused = true)]
-async fn entries_do_not_fill_the_log_while_nobody_leads() {
+async fn entries_do_not_fill_the_log_without_a_leader() {
     for (entries, append_ms) in [(585, 4), (36, 300)] {
         let (_node, log, submitter) = entry(entries, append_ms).await;
         let begun = Instant::now();
@@ -77,7 +77,7 @@
 
 /// Guards against a refusal where a successor is there in a moment.
 #[tokio::test(start_paused = true)]
-async fn a_successor_stores_what_waited_for_it() {
+async fn a_successor_stores_the_records_that_waited_for_it() {
     let (node, log, submitter) = entry(585, 4).await;
     let waiting = tokio::spawn(async move { submit(&submitter, 1).await });
     sleep(Duration::from_millis(600)).await;
@@ -98,7 +98,7 @@
 
 /// Guards against callers who wait for a leader that is there and only slow.
 #[tokio::test(start_paused = true)]
-async fn entries_append_for_themselves_where_the_leader_is_slow() {
+async fn entries_append_for_themselves_while_the_leader_is_slow() {
     let (node, log, submitter) = entry(585, 4).await;
     node.set_append_ms(4, Some(node.now()));
     assert_eq!(submit(&submitter, 1).await, SubmitOutcome::Stored);
--- a/tests/support/fakes.rs
+++ b/tests/support/fakes.rs
@@ -109,7 +109,7 @@
     starts: Arc<Mutex<Vec<StartCall>>>,
     stops: Arc<Mutex<Vec<RunCall>>>,
     /// Stops that are under way, and the most that were at a time.
-    stopping: Arc<Mutex<(usize, usize)>>,
+    stops_in_flight: Arc<Mutex<(usize, usize)>>,
     addresses: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
@@ -131,11 +131,11 @@
 
     /// Most stops that were under way at a time.
     pub fn max_concurrent_stops(&self) -> usize {
-        self.stopping().1
+        self.stops_in_flight().1
     }
 
-    fn stopping(&self) -> MutexGuard<'_, (usize, usize)> {
-        self.stopping.lock().expect("no test thread panics")
+    fn stops_in_flight(&self) -> MutexGuard<'_, (usize, usize)> {
+        self.stops_in_flight.lock().expect("no test thread panics")
     }
 
     /// Where starts and stops were sent.
@@ -143,7 +143,7 @@
         self.addresses.lock().expect("no test thread panics")
     }
 
-    async fn answer(&self, patience: Duration) -> CommandOutcome<u64> {
+    async fn answer(&self, timeout: Duration) -> CommandOutcome<u64> {
         match self.mode {
             AnswerMode::Done
             | AnswerMode::NoCapacity
@@ -154,7 +154,7 @@
                 CommandOutcome::Done(40)
             }
             AnswerMode::Silent => {
-                sleep(patience).await;
+                sleep(timeout).await;
                 CommandOutcome::Unknown
             }
         }
@@ -166,13 +166,13 @@
         &self,
         _: &WorkerTarget,
         call: &RenewCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<WorkerReport> {
         if self.mode == AnswerMode::LateRenewals {
-            sleep(patience + call.wait + Duration::from_secs(1)).await;
+            sleep(timeout + call.wait + Duration::from_secs(1)).await;
             return CommandOutcome::Done(WorkerReport { clock_ms: 40, ..Default::default() });
         }
-        sleep(patience + call.wait).await;
+        sleep(timeout + call.wait).await;
         CommandOutcome::Unknown
     }
 
@@ -180,14 +180,14 @@
         &self,
         target: &WorkerTarget,
         call: &StartCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<u64> {
         self.addresses().insert(target.address);
         self.starts().push(call.clone());
         match self.mode {
             AnswerMode::NoCapacity => CommandOutcome::Refused(CommandRefusal::NoCapacity, Some(40)),
             AnswerMode::Panics => panic!("a call is broken off"),
-            _ => self.answer(patience).await,
+            _ => self.answer(timeout).await,
         }
     }
 
@@ -195,15 +195,15 @@
         &self,
         target: &WorkerTarget,
         call: &RunCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<u64> {
         self.addresses().insert(target.address);
         self.stops().push(*call);
-        let under_way = self.stopping().0 + 1;
-        let most = self.stopping().1.max(under_way);
-        *self.stopping() = (under_way, most);
-        let outcome = self.answer(patience).await;
-        self.stopping().0 -= 1;
+        let in_flight = self.stops_in_flight().0 + 1;
+        let most = self.stops_in_flight().1.max(in_flight);
+        *self.stops_in_flight() = (in_flight, most);
+        let outcome = self.answer(timeout).await;
+        self.stops_in_flight().0 -= 1;
         outcome
     }
 
@@ -212,8 +212,8 @@
         _: &WorkerTarget,
         _: &RunCall,
         _: u32,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<u64> {
-        self.answer(patience).await
+        self.answer(timeout).await
     }
 }
--- a/tests/wave_reporter.rs
+++ b/tests/wave_reporter.rs
@@ -47,14 +47,14 @@
 /// is repeated under its number before the second is sent under the next: sent at once, the second
 /// could be stored first, and operators would see the wave run for good.
 #[tokio::test(start_paused = true)]
-async fn a_status_is_sent_once_the_one_before_is_on_the_log() {
+async fn a_status_is_sent_after_the_previous_one_is_stored() {
     let log = LossyLog::default();
     let logger = ibisweir::logging::silent();
-    let (teller, statuses) = WaveReporter::open(log.clone(), encode, logger, 7);
+    let (reporter, statuses) = WaveReporter::open(log.clone(), encode, logger, 7);
     statuses.send((1, false)).expect("the teller listens");
     statuses.send((1, true)).expect("the teller listens");
     drop(statuses);
-    teller.run().await;
+    reporter.run().await;
     let sent = log.sent.lock().expect("no panic before");
     assert_eq!(*sent, vec![(0, vec![0]), (0, vec![0]), (1, vec![1])]);
 }
