--- a/src/jobs/caller_service.rs
+++ b/src/jobs/caller_service.rs
@@ -1,4 +1,5 @@
-//! What callers ask of an entry: submit a job, look at it, cancel it, count a queue.
+//! The operations that callers use: submit a job, query its state, cancel it, count the waiting
+//! jobs of a queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,42 +19,43 @@
 use crate::jobs::site::QueueSpec;
 use crate::jobs::submitter::{SubmitHandle, SubmitOutcome};
 
-/// Time by which an answer leaves before its caller gives up: the way back and a busy process.
+/// How long before the caller's time limit an answer is sent, to allow for the network and a busy
+/// process.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// Longest wait for the log before a caller is told that the outcome is not known: by then another
-/// entry is the better choice, and the caller has time left for it.
+/// Longest wait for the log before a caller is told that the outcome is unknown: by then it does
+/// better to try another entry, and has time left to do so.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// When a caller that was refused for an outage may come back.
+/// When a caller that was rejected because of an outage may retry.
 const OUTAGE_RETRY: Duration = Duration::from_secs(1);
 
-/// What an entry answers.
+/// Reply to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerReply {
-    /// The job is stored, or its cancellation is.
+    /// The job or its cancellation is stored.
     Stored,
     /// The job's state.
     State(JobState),
-    /// Jobs of the queue of which no task has started.
+    /// Number of jobs of the queue of which no task has started.
     Waiting(u64),
-    /// Nothing was done; when to come back, where that helps.
+    /// Nothing was done; with the time after which to retry, if that can help.
     Refused(ResultCode, Option<Duration>),
-    /// Not known whether it was done.
+    /// It is unknown whether the request was carried out.
     Unknown(ResultCode),
 }
 
-/// Answers callers.
+/// Serves the requests of callers.
 #[derive(Clone)]
 pub struct CallerService<L> {
-    /// Shared state.
+    /// State shared by the loops of the entry.
     pub node: Arc<JobNode>,
-    /// Reads the log for jobs that this entry does not know; another may have accepted them a moment
-    /// ago.
+    /// Catches up with the log for jobs that this entry does not know: another entry may just have
+    /// accepted them.
     pub reader: Arc<CatchUpReader<L>>,
-    /// Puts records on the log.
+    /// Stores records in the log.
     pub submitter: SubmitHandle,
-    /// Reaches the leader, whose book tells of jobs where the log is silent here.
+    /// Reaches the leader, which knows the state of jobs while this entry can't read the log.
     pub relay: RelayClient,
-    /// Asks entries with a copy of the job log where this one has none.
+    /// Queries entries with a replica of the job log if this one has none.
     pub queries: QueryClient,
 }
 
@@ -61,8 +63,8 @@
     /// The queue that a request belongs to.
     ///
     /// # Errors
-    /// `NotReady` before a configuration was read, `UnknownService` if no queue has this host and
-    /// path.
+    /// `NotReady` before a configuration was read, `UnknownService` if no queue matches the host
+    /// and path.
     pub fn queue(&self, host: &str, path: &str) -> Result<QueueSpec, CallerReply> {
         let refused = |code, wait| CallerReply::Refused(code, wait);
         let Some(config) = self.node.config() else {
@@ -72,11 +74,11 @@
         queue.cloned().ok_or_else(|| refused(ResultCode::UnknownService, None))
     }
 
-    /// Lets a caller in by the key that it shows.
+    /// Authenticates a caller by its API key.
     ///
     /// # Errors
-    /// `NoApiKey` or `UnknownApiKey`; `KeyUnconfirmed` while this entry can't tell whether its configuration is
-    /// the newest: another entry may.
+    /// `NoApiKey` or `UnknownApiKey`; `KeyUnconfirmed` if this entry can't confirm that its
+    /// configuration is the newest, while another entry may.
     pub fn admit(&self, queue: &QueueSpec, key: PresentedKey) -> Result<CallerAccess, CallerReply> {
         if queue.is_open || !self.needs_keys() {
             return Ok(CallerAccess::default());
@@ -86,7 +88,7 @@
         admitted.map_err(|refusal| self.rejection(refusal))
     }
 
-    /// Whether callers of any queue need keys.
+    /// Whether the site uses API keys.
     fn needs_keys(&self) -> bool {
         self.node.config().is_some_and(|config| config.access.is_some())
     }
@@ -97,12 +99,12 @@
             AccessRefusal::UnknownKey => (ResultCode::UnknownApiKey, None),
             AccessRefusal::Unconfirmed => (ResultCode::KeyUnconfirmed, Some(OUTAGE_RETRY)),
         };
-        info!(self.node.logger, "a caller is not let in"; "code" => code.number(),
+        info!(self.node.logger, "caller not admitted"; "code" => code.number(),
             "name" => code.name(), "view_age_ms" => self.node.config_age_ms());
         CallerReply::Refused(code, wait)
     }
 
-    /// Stores a job; the same id again is the same job.
+    /// Stores a job. Submitting the same id again refers to the same job.
     pub async fn submit(
         &self,
         queue: &QueueSpec,
@@ -118,7 +120,7 @@
             return CallerReply::Refused(ResultCode::BadJob, None);
         }
         if let Some(known) = KnownJob::find(&self.node, job) {
-            info!(logger, "job known already"; "job" => %job);
+            info!(logger, "job already known"; "job" => %job);
             return reply_for_stored(caller, Some(&known));
         }
         if self.node.is_log_away() {
@@ -148,8 +150,9 @@
         }
     }
 
-    /// A job of this id is stored. Where jobs belong to organisations, this caller's may have come second; without a copy
-    /// of the log the leader tells.
+    /// The reply once a job with this id is stored. If jobs belong to organisations, a job of
+    /// another organisation may have been stored under the id first; an entry without a replica
+    /// asks the leader.
     async fn stored_reply(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
         if !self.needs_keys() || !self.node.asks_replicas() {
             return reply_for_stored(caller, KnownJob::find(&self.node, job).as_ref());
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Tells a job's state.
+    /// Replies with the state of a job.
     pub async fn job_state(&self, caller: &CallerAccess, job: JobId) -> CallerReply {
         match self.find_job(job).await {
             Ok(Some(known)) if !self.is_hidden(caller, job, &known) => {
@@ -171,17 +174,18 @@
         }
     }
 
-    /// Whether a job is another organisation's: it is none to this caller.
+    /// Whether the job belongs to another organisation, so that it does not exist for this caller.
     fn is_hidden(&self, caller: &CallerAccess, job: JobId, known: &KnownJob) -> bool {
         let is_hidden = !caller.may_see(known.organisation.as_ref());
         if is_hidden {
-            info!(self.node.logger, "a job of another organisation is not told"; "job" => %job);
+            info!(self.node.logger, "job hidden from a caller of another organisation";
+                "job" => %job);
         }
         is_hidden
     }
 
-    /// A job by this entry's book; while the log turns this entry alone away its book stands still, and the
-    /// leader's is asked.
+    /// Finds a job in this entry's table. While this entry alone can't read the log its table is
+    /// out of date, so the leader is asked.
     async fn find_job(&self, job: JobId) -> Result<Option<KnownJob>, CallerReply> {
         if self.node.asks_replicas() {
             match self.queries.ask(&self.node, &JobQuery::Job(job)).await {
@@ -194,7 +198,7 @@
         if local.as_ref().is_some_and(|local| local.state.is_final()) {
             return Ok(local);
         }
-        // A job that the leader does not know may stand on the log by another entry's append.
+        // A job that the leader does not know may still be in the log, appended by another entry.
         if self.node.is_turned_away()
             && let Some(Some(found)) = self.relay.look(&self.node, job).await
         {
@@ -209,8 +213,8 @@
         }
     }
 
-    /// Cancels a job, also one that is not known: its submission may be under way by another entry, or on the log
-    /// where this entry is behind it. Whoever reads it finds it cancelled.
+    /// Cancels a job, even an unknown one: another entry may still be storing its submission, or
+    /// this entry may be behind the log. Whoever reads the submission then finds it cancelled.
     pub async fn cancel(
         &self,
         queue: &QueueSpec,
@@ -221,13 +225,14 @@
         let begun = Instant::now();
         let known = self.find_job(job).await;
         let (record, what) = match &known {
-            // Whether it would count for a job that is there can't be told where callers belong to organisations.
+            // If callers belong to organisations, it is unknown whether the cancellation would
+            // apply.
             Err(reply) if self.node.is_log_away() || self.needs_keys() => return *reply,
             Ok(Some(known)) if self.is_hidden(caller, job, known) => return no_such_job(),
             Ok(Some(known)) if known.state.is_final() => return CallerReply::Stored,
             Ok(Some(_)) => (JobRecord::Cancelled(job), "cancellation"),
-            Ok(None) => (tombstone(caller, job), "cancellation of no known job"),
-            Err(_) => (tombstone(caller, job), "cancellation without a look at the job"),
+            Ok(None) => (tombstone(caller, job), "cancellation of an unknown job"),
+            Err(_) => (tombstone(caller, job), "cancellation without reading the job"),
         };
         let remaining = time_left.saturating_sub(begun.elapsed());
         let outcome = self.submitter.submit(record, deadline(queue, remaining)).await;
@@ -238,7 +243,8 @@
         }
     }
 
-    /// Counts the jobs of a queue that wait for their first task, by whoever has a copy of the log.
+    /// Counts the jobs of a queue that wait for their first task; queries other entries if this one
+    /// has no replica.
     pub async fn waiting_jobs(&self, queue: &QueueSpec) -> CallerReply {
         if !self.node.asks_replicas() {
             return self.own_waiting_jobs(queue);
@@ -249,7 +255,7 @@
         }
     }
 
-    /// The same by this entry's own copy.
+    /// The same, from this entry's own replica.
     pub fn own_waiting_jobs(&self, queue: &QueueSpec) -> CallerReply {
         if !self.node.is_current() {
             return self.log_unread_reply();
@@ -257,7 +263,8 @@
         CallerReply::Waiting(self.node.book().waiting_jobs(&queue.name))
     }
 
-    /// Why the log could not be read to its end: it is away, or this entry is behind.
+    /// The reply if the log could not be read to its end: it is unavailable, or this entry is
+    /// behind.
     fn log_unread_reply(&self) -> CallerReply {
         if self.node.is_log_away() {
             return outage_reply();
@@ -271,14 +278,14 @@
         0 => SUBMIT_TIMEOUT,
         timeout => SUBMIT_TIMEOUT.min(Duration::from_millis(timeout)),
     };
-    // A caller with less time than the margin still gets half of it: an append takes a few milliseconds
-    // as a rule, and an outcome that is not known is worth nothing to it.
+    // A caller with less time than the margin still gets half of its time: an append usually takes
+    // a few milliseconds, and an unknown outcome is of no use to the caller.
     let margin = ANSWER_MARGIN.min(time_left / 2);
     Instant::now() + time_limit.min(time_left - margin)
 }
 
-/// The job of this id is stored; a caller of another organisation than its own has not handed it in, and nothing
-/// of what it asked for will run.
+/// The reply if a job with this id is stored. If it belongs to another organisation, the caller did
+/// not submit it, and nothing of its own request will run.
 fn reply_for_stored(caller: &CallerAccess, known: Option<&KnownJob>) -> CallerReply {
     match known.is_none_or(|known| caller.may_see(known.organisation.as_ref())) {
         true => CallerReply::Stored,
@@ -294,8 +301,9 @@
     }
 }
 
-/// The cancellation of a job that this entry does not know. Whose it is is not known either, nor whether callers belong
-/// to organisations by a newer configuration than this entry's: it counts only if the caller may see the job.
+/// The cancellation of a job that this entry does not know. The owner of the job is unknown too,
+/// and so is whether callers belong to organisations in a newer configuration than this entry's. So
+/// it applies only if the caller may see the job.
 fn tombstone(caller: &CallerAccess, job: JobId) -> JobRecord {
     JobRecord::CancelledBy(job, OrganisationDigest::of(caller.organisation.as_ref()))
 }
--- a/src/jobs/catch_up.rs
+++ b/src/jobs/catch_up.rs
@@ -1,9 +1,9 @@
-//! Brings the job book up to date for callers that ask about a job that this entry does not know.
+//! Brings the job table up to date when a caller asks about a job that this entry does not know.
 //!
-//! The load that this answers: an entry is behind the log, as its link is slow or its process weak,
-//! and dozens of callers a second ask for jobs that other entries have accepted. Each of them reading
-//! the log for itself would fetch the same records again and again, and put the entry further behind.
-//! One read serves all callers that came before it began.
+//! An entry can be behind the log because its link is slow or its processor weak, while dozens of
+//! callers a second ask for jobs that other entries have accepted. If each of them made its own
+//! read, the same records would be fetched again and again and the entry would fall further behind.
+//! So one read serves all callers that asked before it began.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 use crate::jobs::node::JobNode;
 use crate::jobs::ports::{JobLog, LogTopic, ReadOutcome};
 
-/// Time to read the newest records before a caller is told that the log is away.
+/// Time limit for reading the newest records before a caller is told that the log is unavailable.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after an answer that brought no record and did not come to the log's end.
+/// Delay after an answer that has no records and does not reach the end of the log.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Reads the job log to its end on demand.
 pub struct CatchUpReader<L> {
     node: Arc<JobNode>,
     log: L,
-    /// When the latest read that came to the log's end began.
+    /// Start of the latest read that reached the end of the log.
     last_start: Mutex<Option<Instant>>,
 }
 
 impl<L: JobLog> CatchUpReader<L> {
-    /// A reader that folds into this entry's book.
+    /// A reader that updates this entry's job table.
     pub fn new(node: Arc<JobNode>, log: L) -> CatchUpReader<L> {
         CatchUpReader { node, log, last_start: Mutex::new(None) }
     }
 
-    /// Waits until the book has all that was on the log when this was called; false if the log can't
-    /// be read now.
+    /// Waits until the table has everything that was in the log when this was called; false if the
+    /// log can't be read now.
     pub async fn catch_up(&self) -> bool {
         let requested = Instant::now();
         timeout(CATCH_UP_TIMEOUT, self.read_since(requested)).await.unwrap_or(false)
--- a/src/jobs/confirm.rs
+++ b/src/jobs/confirm.rs
@@ -1,16 +1,18 @@
-//! Has other entries confirm the configuration while this one can't read the log.
+//! Lets an entry that can't read the log confirm its configuration through other entries.
 //!
-//! The load that this answers: the log turns some entries away, or their way to it is cut, while it serves
-//! the others and the operators. By their own readings alone such entries would soon honour no key, and
-//! callers whose connections lead there would be refused though nothing of theirs was revoked.
+//! The log may reject some entries, or the link to it may be down, while it still serves the other
+//! entries and the operators. Relying on their own reads alone, such entries would soon honour no
+//! API key, and their callers would be rejected although no key was revoked.
 //!
-//! An entry asks another for the age of its newest reading. That age is taken after the question was sent, so
-//! counted back from the sending it is never younger than the reading was: it counts as one of its own. An
-//! answer that comes with a newer configuration brings it along. Whoever is asked may itself have been
-//! confirmed by a third; ages only grow on the way.
+//! An entry asks another one for the age of its latest read. That age is determined after the query
+//! was sent, so subtracting it from the time of sending never makes the read look younger than it
+//! is, and the read counts like one of the asking entry's own. If the other entry has a newer
+//! configuration, the answer includes it. The other entry may itself have been confirmed by a third
+//! one; ages only grow on the way.
 //!
-//! The leader is asked first, as it must reach the log to lead, then other entries in turn, one at a time: when
-//! many entries lose their way at once, each sends one small question every half second.
+//! The leader is asked first, since it can only lead while it reaches the log, then the other
+//! entries one at a time. When many entries lose the log at once, each sends one small query every
+//! half second.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,49 +28,50 @@
 use crate::jobs::site::SiteConfig;
 use crate::transport::{HttpCall, HttpTransport};
 
-/// Path of a question.
+/// Path of a query.
 pub const CONFIRM_PATH: &str = "/view";
-/// Largest question, in bytes.
+/// Largest query, in bytes.
 pub const QUERY_BYTES_MAX: usize = 64;
-/// Part of the time for which a reading counts from which others are asked: one in so many. A reading that
-/// waits for news is answered long before.
+/// Other entries are asked once the latest read has reached this fraction (1/3) of the time for
+/// which it counts. Long-polling reads are answered well before.
 const ASK_AGE_DIVISOR: u64 = 3;
-/// Time between two looks at the age of the own reading, and between two questions.
+/// Time between two checks of the age of this entry's latest read, and between two queries.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for an answer.
+/// Timeout of a query.
 const ASK_TIMEOUT: Duration = Duration::from_millis(450);
-/// Time between two questions of an entry that is well, in milliseconds: it learns whom it could ask.
+/// Time between two queries while the configuration is recent, in milliseconds. They keep the list
+/// of entries that could be asked up to date.
 const PEER_REFRESH_MS: u64 = 10_000;
-/// The same while it knows nobody.
+/// The same while no other entry is known.
 const FIRST_PEER_REFRESH_MS: u64 = 1_000;
-/// Other entries that an answer names.
+/// Largest number of other entries in an answer.
 const PEERS_MAX: usize = 5;
 
-/// What an entry asks.
+/// A query for the age of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmQuery {
-    /// Version of the configuration that it has.
+    /// Version of the asking entry's configuration.
     pub version: u64,
 }
 
-/// What another one answers.
+/// Answer to a [`ConfirmQuery`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfirmAnswer {
-    /// Time since the start of the newest reading that showed its configuration to be the newest, in
-    /// milliseconds; nothing if there was none.
+    /// Time since the start of the latest read that confirmed the configuration to be the newest,
+    /// in milliseconds; `None` if there was none.
     pub age_ms: Option<u64>,
-    /// Its configuration, if that is newer.
+    /// The answering entry's configuration, if it is newer.
     pub config: Option<SiteConfig>,
-    /// Where it takes the leader to be.
+    /// Address of the leader, as known to the answering entry.
     pub leader: Option<SocketAddr>,
-    /// Other entries.
+    /// Addresses of other entries.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Answers a question; nothing if it can't be read.
+/// Answers a query; `None` if it can't be decoded.
 pub fn answer(node: &JobNode, body: &[u8]) -> Option<Vec<u8>> {
     let query: ConfirmQuery = postcard::from_bytes(body).ok()?;
-    // The age before the configuration: what the reading has shown is in force by then.
+    // The age is taken before the configuration: whatever that read has found is in force by then.
     let age_ms = node.config_age_ms();
     let config = node.config().filter(|config| config.version > query.version);
     let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
@@ -81,13 +84,15 @@
     postcard::to_stdvec(&ConfirmAnswer { age_ms, config, leader, peers }).ok()
 }
 
-/// Takes an answer to a question that was sent at `asked_ms`.
+/// Applies the answer to a query that was sent at `asked_ms`.
 pub fn apply_answer(node: &JobNode, answer: ConfirmAnswer, asked_ms: u64) {
     let version = answer.config.as_ref().map(|config| config.version);
     if answer.config.is_some_and(|config| node.set_config(config)) {
-        info!(node.logger, "configuration in force"; "version" => version, "from" => "another entry");
+        info!(node.logger, "configuration in force"; "version" => version,
+            "from" => "another entry");
     }
-    // A reading from before this process began can't be told by its clock, and is not needed.
+    // A read from before the start of this process can't be expressed on its clock, and is not
+    // needed.
     let confirmed = answer.age_ms.and_then(|age| asked_ms.checked_sub(age));
     if let Some(confirmed) = confirmed {
         node.config_shown(confirmed);
@@ -105,15 +110,15 @@
     }
 }
 
-/// Asks while it is needed.
+/// Asks other entries when this entry's own reads are too old.
 pub struct ConfirmLoop {
-    /// Shared state.
+    /// State shared by the loops of the entry.
     pub node: Arc<JobNode>,
-    /// Reaches other entries.
+    /// Sends the queries.
     pub transport: HttpTransport,
-    /// Whom to ask next.
+    /// Position of the entry to ask next: the leader first, then the peers.
     pub turn: usize,
-    /// When others were last asked for whom to ask, in milliseconds.
+    /// When other entries were last asked, in milliseconds; `None` for never.
     pub peers_asked_ms: Option<u64>,
 }
 
@@ -160,14 +165,14 @@
         }
         let is_newer = self.node.shown_ms() > before;
         if is_old {
-            // Whoever has confirmed is asked again; else the next one.
+            // An entry that has confirmed the configuration is asked again, otherwise the next one.
             self.turn += usize::from(!is_newer);
-            info!(self.node.logger, "another entry was asked for its reading"; "entry" => %target,
-                "is_newer" => is_newer, "age_ms" => self.node.config_age_ms());
+            info!(self.node.logger, "asked another entry to confirm the configuration";
+                "entry" => %target, "is_newer" => is_newer, "age_ms" => self.node.config_age_ms());
         }
     }
 
-    /// The leader, then the others in turn.
+    /// The entry to ask: the leader, then the others in turn.
     fn target(&self, is_old: bool) -> Option<SocketAddr> {
         let peers = self.node.peers();
         let leader = self.node.leader();
--- a/src/jobs/decision_log.rs
+++ b/src/jobs/decision_log.rs
@@ -1,4 +1,4 @@
-//! The leader's decisions as log lines and counters.
+//! Writes the leader's decisions to the log and counts them in the metrics.
 
 use slog::{info, warn};
 
@@ -7,7 +7,7 @@
 use crate::scheduler::SchedulerEvent;
 use crate::scheduler::losses::CRASH_WINDOW_MS;
 
-/// Writes a decision down.
+/// Logs and counts one decision.
 pub fn write(node: &JobNode, note: &SchedulerEvent) {
     let logger = &node.logger;
     match note {
@@ -43,15 +43,16 @@
             all,
         } => {
             count(&node.metrics.service_waits, reason);
-            info!(logger, "a service task is away"; "job" => %task.job, "task" => %task,
+            info!(logger, "service task is not running"; "job" => %task.job, "task" => %task,
                 "run" => run, "worker" => worker.as_deref(), "reason" => reason,
-                "away_ms" => away_ms, "waits_ms" => waits_ms, "open_tries" => open_tries, "workers_lost" => losses.total,
-                "lost_at_start" => losses.at_start, "all_away" => all);
+                "away_ms" => away_ms, "waits_ms" => waits_ms, "open_tries" => open_tries,
+                "workers_lost" => losses.total, "lost_at_start" => losses.at_start,
+                "all_away" => all);
         }
         SchedulerEvent::OnTrial { task, lost } => {
             node.metrics.trials.inc();
-            info!(logger, "starts only while its pool is calm"; "job" => %task.job, "task" => %task,
-                "workers_lost" => lost);
+            info!(logger, "task starts only while its pool is stable"; "job" => %task.job,
+                "task" => %task, "workers_lost" => lost);
         }
         SchedulerEvent::StartRefused { task, run, worker, reason, open_tries } => {
             if *open_tries > 0 {
@@ -62,24 +63,24 @@
         }
         SchedulerEvent::SecondRun { task, run, worker, booked } => {
             node.metrics.second_runs.inc();
-            warn!(logger, "a second run of a task is listed"; "job" => %task.job, "task" => %task,
-                "run" => run, "worker" => &**worker, "booked_run" => booked);
+            warn!(logger, "worker lists a second run of a task"; "job" => %task.job,
+                "task" => %task, "run" => run, "worker" => &**worker, "booked_run" => booked);
         }
         SchedulerEvent::JobState { job, state, age_ms } => {
             info!(logger, "job state"; "job" => %job, "state" => ?state, "age_ms" => age_ms);
         }
         SchedulerEvent::Cancelled { job, source, found, view_ms } => {
             count(&node.metrics.cancellations, found);
-            info!(logger, "cancellation taken in"; "job" => %job, "source" => ?source,
+            info!(logger, "cancellation applied"; "job" => %job, "source" => ?source,
                 "found" => found, "view_ms" => view_ms);
         }
         SchedulerEvent::StartedAfterEnd { task, run, worker, since_ms } => {
             node.metrics.begun_over.inc();
-            warn!(logger, "a run of a job that is over is listed"; "job" => %task.job,
+            warn!(logger, "worker lists a run of a finished job"; "job" => %task.job,
                 "task" => %task, "run" => run, "worker" => &**worker, "since_ms" => since_ms);
         }
         SchedulerEvent::ViewStale { view_ms } => {
-            warn!(logger, "nothing is placed until the job log is read"; "view_ms" => view_ms);
+            warn!(logger, "placement paused until the job log is read"; "view_ms" => view_ms);
         }
         SchedulerEvent::Worker { worker, change, runs } => {
             info!(logger, "worker"; "worker" => &**worker, "change" => change, "runs" => runs);
@@ -99,7 +100,7 @@
     }
 }
 
-/// The class of a run that ended with its worker, for metrics.
+/// Metric label of a run that was lost with its worker.
 fn lost_run_label(at_work_ms: Option<u64>) -> &'static str {
     match at_work_ms {
         None => "start not answered",
--- a/src/jobs/job_table.rs
+++ b/src/jobs/job_table.rs
@@ -1,7 +1,7 @@
-//! Folds the job log into what every entry knows of every job.
+//! The state of every job, built by replaying the job log.
 //!
-//! Callers are answered from this book: a state is shown only once the log has it, so no answer
-//! depends on what a process alone remembers.
+//! Callers are answered from this table: a state is shown only once the log has it, so no answer
+//! depends on the memory of a single process.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,18 +10,19 @@
 use crate::jobs::model::{JobId, JobState, JobSubmission};
 use crate::jobs::record::{JobProgress, JobRecord, LostVm};
 
-/// One job as the log tells it.
+/// State of one job according to the log.
 #[derive(Clone, Debug, Default)]
 pub struct LoggedJob {
-    /// The submission; a cancellation or progress can be read before it.
+    /// The submission; `None` if a cancellation or the progress was read first.
     pub submission: Option<Arc<JobSubmission>>,
-    /// Whether a caller cancelled it that may.
+    /// Whether a caller with access to the job cancelled it.
     pub is_cancelled: bool,
-    /// Callers that cancelled it before their entries knew it, and the offsets of that.
+    /// Organisations that cancelled the job before their entries knew it, with the offsets of those
+    /// records.
     pub tombstones: BTreeMap<OrganisationDigest, u64>,
     /// Newest progress.
     pub progress: Option<Arc<JobProgress>>,
-    /// Since when this process knows that the job is over, in milliseconds.
+    /// When this process learned that the job is finished, in milliseconds on its clock.
     pub finished_ms: Option<u64>,
     progress_offset: u64,
     submission_offset: u64,
@@ -29,12 +30,12 @@
 }
 
 impl LoggedJob {
-    /// A job of which only the submission is known.
+    /// A job without progress or cancellation.
     pub fn submitted(submission: Arc<JobSubmission>) -> LoggedJob {
         LoggedJob { submission: Some(submission), ..LoggedJob::default() }
     }
 
-    /// Lets the cancellations count of callers that may see the job.
+    /// Applies the tombstones of callers that may see the job.
     fn apply_tombstones(&mut self) {
         let Some(submission) = &self.submission else { return };
         let owner = submission.organisation.as_ref();
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Forgets what lies before `end` on the log.
+    /// Removes the records from before `end`.
     fn forget_before(&mut self, end: u64) {
         if self.submission_offset < end {
             self.submission = None;
@@ -61,7 +62,7 @@
         !has_record && self.tombstones.is_empty()
     }
 
-    /// What a caller may be told; nothing before the submission was read.
+    /// State as shown to callers; `None` before the submission was read.
     pub fn state(&self) -> Option<JobState> {
         self.submission.as_ref()?;
         let state = self.progress.as_ref().map_or(JobState::Queued, |progress| progress.state);
@@ -73,46 +74,48 @@
     }
 }
 
-/// Every job that the log still keeps.
+/// Every job that the log still has.
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: HashMap<JobId, LoggedJob>,
     waiting: HashMap<Arc<str>, u64>,
     waves: HashMap<u64, Arc<BTreeSet<Arc<str>>>>,
-    /// VMs that have lost their workers lately by pool, and the offset of that record.
+    /// VMs that lost their workers recently, by pool, with the offset of the record.
     losses: HashMap<Arc<str>, (u64, Arc<Vec<LostVm>>)>,
-    /// Offsets of drops: a page of an earlier time may still have the job.
+    /// Offsets at which jobs were dropped: a snapshot page that was made earlier may still contain
+    /// them.
     dropped: HashMap<JobId, u64>,
 }
 
 impl JobTable {
-    /// A job.
+    /// A job by its id.
     pub fn get(&self, job: JobId) -> Option<&LoggedJob> {
         self.jobs.get(&job)
     }
 
-    /// Every job.
+    /// All jobs.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &LoggedJob)> {
         self.jobs.iter()
     }
 
-    /// Jobs of a queue of which no task has started.
+    /// Number of jobs of a queue of which no task has started.
     pub fn waiting_jobs(&self, queue: &str) -> u64 {
         self.waiting.get(queue).copied().unwrap_or(0)
     }
 
-    /// VMs of a wave that have been maintained.
+    /// VMs of a wave whose maintenance is complete.
     pub fn maintained(&self, wave: u64) -> BTreeSet<Arc<str>> {
         self.waves.get(&wave).map(|done| (**done).clone()).unwrap_or_default()
     }
 
-    /// VMs of each pool that have lost their workers lately.
+    /// VMs that lost their workers recently, by pool.
     pub fn losses(&self) -> impl Iterator<Item = (&Arc<str>, &[LostVm])> {
         self.losses.iter().map(|(service, (_, lost))| (service, lost.as_slice()))
     }
 
-    /// Begins anew with the newest record of each key, read since the log ended at `end`: what they leave out was
-    /// dropped, unless it was appended later. Returns those that tell something new.
+    /// Replaces the table by the newest record of each key, read after the log ended at `end`: keys
+    /// that are missing were dropped, unless they were appended later. Returns the records that
+    /// changed something.
     pub fn apply_snapshot(
         &mut self,
         newest: &[(u64, JobRecord)],
@@ -126,7 +129,8 @@
         newest.iter().filter(is_new).cloned().collect()
     }
 
-    /// Notes that what these records show as over was known by now.
+    /// Notes `now` as the time at which the jobs that these records finish were known to be
+    /// finished.
     pub fn note_finished(&mut self, records: &[(u64, JobRecord)], now: u64) {
         for job in records.iter().filter_map(|(_, record)| record.job()) {
             let Some(entry) = self.jobs.get_mut(&job) else { continue };
@@ -136,17 +140,17 @@
         }
     }
 
-    /// Nothing from before `end` comes any more.
+    /// Forgets the drops before `end`, once no earlier record can arrive any more.
     pub fn forget_drops(&mut self, end: u64) {
         self.dropped.retain(|_, offset| *offset >= end);
     }
 
-    /// Takes the record at `offset` of the log; returns whether it told something new.
+    /// Applies the record at `offset` of the log; returns whether it changed something.
     pub fn fold(&mut self, record: &JobRecord, offset: u64) -> bool {
         match record {
             JobRecord::Submitted(job, submission) => self.update(*job, offset, |entry| {
-                // The first submission counts: a caller's retry reaches another entry with the
-                // same job, and what has been scheduled must not change under it.
+                // The first submission wins: a retry of a caller reaches another entry with the
+                // same job, and a job that is being scheduled must not change.
                 let is_new = entry.submission.is_none();
                 entry.submission_offset = entry.submission_offset.max(offset);
                 if is_new || submission.has_no_spec() {
@@ -167,7 +171,7 @@
                 is_new
             }),
             JobRecord::Progress(job, progress) => self.update(*job, offset, |entry| {
-                // A snapshot's later pages can be ahead of the records that are read after it.
+                // Later pages of a snapshot can be ahead of the records that are read after it.
                 let is_new = entry.progress.is_none() || offset > entry.progress_offset;
                 if is_new {
                     entry.progress = Some(progress.clone());
@@ -178,7 +182,8 @@
             JobRecord::Dropped(job) => {
                 let newest = self.dropped.entry(*job).or_default();
                 *newest = offset.max(*newest);
-                // It may be read again after what this entry has appended since.
+                // The drop may be read again after this entry has appended newer records of the
+                // job.
                 self.forget_before(*job, offset)
             }
             JobRecord::TombstoneDropped(job, digest) => {
@@ -190,8 +195,8 @@
                 is_new
             }
             JobRecord::Wave(number, done) => {
-                // VMs are only ever added. A record that is read again after a newer one must not take
-                // any away: they would be maintained twice.
+                // VMs are only ever added: if an old record, read again after a newer one, removed
+                // any, they would be maintained twice.
                 let known = Arc::make_mut(self.waves.entry(*number).or_default());
                 known.extend(done.iter().cloned());
                 true
@@ -207,7 +212,7 @@
         }
     }
 
-    /// Forgets what lies before `end` on the log; returns whether that was all.
+    /// Removes a job's records from before `end`; returns whether none are left.
     fn forget_before(&mut self, job: JobId, end: u64) -> bool {
         self.count_waiting(job, false);
         let Some(entry) = self.jobs.get_mut(&job) else { return false };
@@ -235,7 +240,7 @@
         is_new
     }
 
-    /// Adds a job that waits to the count of its queue, or takes it off.
+    /// Adds a waiting job to the count of its queue, or removes it.
     fn count_waiting(&mut self, job: JobId, is_added: bool) {
         let Some(entry) = self.jobs.get(&job) else { return };
         let Some(submission) = &entry.submission else { return };
--- a/src/jobs/leader_load.rs
+++ b/src/jobs/leader_load.rs
@@ -1,6 +1,7 @@
-//! Tells how a leader gets on: what takes its link, and how late it is by itself.
+//! Logs the load of the leader: how its calls use the link, and how late its loop runs.
 //!
-//! A leader that answers late may wait for its link or for its processor; from outside both look the same.
+//! A leader that answers late may be waiting for its link or for its processor. The two can't be
+//! told apart from outside.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,23 +13,23 @@
 use crate::scheduler::CONFIRMATION_TIMEOUT_MS;
 use crate::traffic::{CONNECTS, CallTraffic};
 
-/// Time between two lines, in milliseconds.
+/// Time between two log lines, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 2_000;
-/// Kinds of calls in one line.
+/// Largest number of kinds of calls in one log line.
 const CALL_KINDS_MAX: usize = 10;
 
 /// A commit that the log has not confirmed yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingCommit {
-    /// Bytes of its records.
+    /// Size of its records, in bytes.
     pub bytes: usize,
     /// When it was first sent, in milliseconds.
     pub begun_ms: u64,
-    /// Appends that were sent for it.
+    /// Number of appends that were sent for it.
     pub tries: u32,
 }
 
-/// How late the leader's loop was, and what its calls took, since the last line.
+/// Lateness of the leader's loop, and traffic of its calls, since the last log line.
 pub struct LeaderLoad {
     reported_ms: u64,
     reported: BTreeMap<String, CallTraffic>,
@@ -40,7 +41,7 @@
 }
 
 impl LeaderLoad {
-    /// One that counts from now.
+    /// Starts counting now.
     pub fn open(node: &JobNode) -> LeaderLoad {
         LeaderLoad {
             reported_ms: node.now(),
@@ -53,13 +54,14 @@
         }
     }
 
-    /// The leadership was last confirmed by an append that was sent so long ago.
+    /// Records the age of the append that last confirmed the leadership.
     pub fn record_confirmation_age(&mut self, age_ms: u64) {
         self.unconfirmed_ms = self.unconfirmed_ms.max(age_ms);
         self.unconfirmed_wakes += u32::from(age_ms >= CONFIRMATION_TIMEOUT_MS);
     }
 
-    /// The leader's loop woke so much later than it had asked for, with this commit under way.
+    /// Records that the loop woke this much later than it had asked for, with this commit in
+    /// flight. Writes the log line if it is due.
     pub fn record_wake(&mut self, node: &JobNode, late: Duration, commit: Option<PendingCommit>) {
         self.wakes += 1;
         self.late += late;
@@ -72,7 +74,7 @@
         let totals = node.metrics.traffic.totals();
         let summary = TrafficSummary::since(&self.reported, &totals, period_ms);
         let mean_ms = crate::clock::millis(self.late / self.wakes);
-        info!(node.logger, "traffic of the leader"; "wakes" => self.wakes, "late_ms" => mean_ms,
+        info!(node.logger, "load of the leader"; "wakes" => self.wakes, "late_ms" => mean_ms,
             "latest_ms" => crate::clock::millis(self.latest_wake), "sent_kbs" => summary.sent_kbs,
             "received_kbs" => summary.received_kbs, "calls" => %summary,
             "connects" => summary.connects.calls, "connects_failed" => summary.connects.unanswered,
@@ -84,8 +86,7 @@
     }
 }
 
-/// The calls that took most of the link in a span of time: how many, how many without an answer, kilobytes a second sent
-/// and received.
+/// The calls with the most traffic in a period of time.
 struct TrafficSummary {
     period_ms: u64,
     sent_kbs: u64,
@@ -107,7 +108,7 @@
         let sum = |part: fn(&CallTraffic) -> u64| -> u64 {
             kinds.iter().map(|(_, traffic)| part(traffic)).sum()
         };
-        // Bytes in a millisecond are kilobytes in a second.
+        // One byte a millisecond is one kilobyte a second.
         let (sent_kbs, received_kbs) =
             (sum(|traffic| traffic.sent) / period_ms, sum(|traffic| traffic.received) / period_ms);
         let connects = totals.get(CONNECTS).copied().unwrap_or_default();
--- a/src/jobs/metrics.rs
+++ b/src/jobs/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the job side, as Prometheus text.
+//! Metrics of an entry's job subsystem, exported as Prometheus text.
 
 use std::sync::atomic::AtomicU64;
 
@@ -17,31 +17,31 @@
 type CallBytes = Family<CallLabel, Counter>;
 type Organisations = Family<OrganisationLabel, Gauge>;
 
-/// Organisations that have a series of their own; what there is of others is under one name, so that operators'
-/// configurations can't fill a monitoring system.
+/// Number of organisations that have their own series. The others share one, so that the operators'
+/// configurations can't overload a monitoring system.
 const ORGANISATIONS_MAX: usize = 64;
-/// The name of the others' series.
+/// Label of the shared series.
 const OTHERS: &str = "others";
 
-/// Label of a metric that is split by organisation.
+/// Label of metrics that are split by organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrganisationLabel {
-    /// Its name.
+    /// Name of the organisation.
     pub organisation: String,
 }
 
-/// Label of a metric that is split by kind of call.
+/// Label of metrics that are split by kind of call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabel {
-    /// Path of the call, without what tells single things apart.
+    /// Path of the call, without ids of single objects.
     pub call: String,
 }
 
-/// Every metric of the job side of one entry.
+/// All job metrics of one entry.
 #[derive(Debug)]
 pub struct JobMetrics {
     registry: Registry,
-    /// Bytes of calls to other processes.
+    /// Counts the calls to other processes and the bytes of their bodies.
     pub traffic: TrafficMeter,
     bytes_sent: CallBytes,
     bytes_received: CallBytes,
@@ -50,71 +50,72 @@
     pub replies: Reasons,
     /// Time to answer a caller, in seconds.
     pub reply_seconds: Histogram,
-    /// Starts, by what became of them.
+    /// Starts, by outcome.
     pub starts: Reasons,
-    /// Ends of runs, by kind.
+    /// Runs that ended, by kind of exit.
     pub exits: Reasons,
-    /// Runs that were lost with their workers, by how long they had been at work.
+    /// Runs that were lost with their workers, by how long they had been active.
     pub lost_runs: Reasons,
-    /// Jobs that were given up as a task of theirs crashes its workers, by reason.
+    /// Jobs that were given up because a task crashes its workers, by reason.
     pub given_up: Reasons,
-    /// Stops, by reason.
+    /// Stop commands, by reason.
     pub stops: Reasons,
     /// Cancellations that reached the leader, by whether it knew the job.
     pub cancellations: Reasons,
-    /// Losses after which a task starts only while its pool is calm.
+    /// Losses after which a task starts only while its pool is stable.
     pub trials: Counter,
-    /// Lines about tasks of services that are away for long, by what these wait for.
+    /// Log lines about service tasks that are not running for a long time, by reason.
     pub service_waits: Reasons,
-    /// Runs that a worker first listed after their job was over.
+    /// Runs that a worker first listed after their job had finished.
     pub begun_over: Counter,
-    /// Starts that were refused while another try of them had no outcome yet.
+    /// Starts that were rejected while another attempt had no outcome yet.
     pub refused_open: Counter,
-    /// Runs on no book that a worker listed beside another run of their task.
+    /// Unrecorded runs that a worker listed in addition to another run of the same task.
     pub second_runs: Counter,
-    /// Questions to entries with a copy of the job log, by what became of them.
+    /// Queries to entries with a replica of the job log, by outcome.
     pub questions: Reasons,
-    /// Whether this entry keeps a copy of the job log.
+    /// Whether this entry has a replica of the job log.
     pub replica: Gauge,
     /// Lease renewals.
     pub renewals: Counter,
-    /// Renewals that were answered after they had been given up.
+    /// Renewals that were answered after their timeout.
     pub late_answers: Counter,
-    /// Commands to workers that may be under way, where this entry leads.
+    /// Number of commands to workers that may be in flight, if this entry leads.
     pub command_window: Gauge,
-    /// Starts that this entry carried out for the leader.
+    /// Starts that this entry sent on behalf of the leader.
     pub delegated_starts: Counter,
-    /// Entries that take starts, where this entry leads.
+    /// Number of entries that take starts, if this entry leads.
     pub executors: Gauge,
-    /// Calls to the VM service that failed, by kind.
+    /// Failed calls to the VM service, by kind.
     pub vm_calls: Reasons,
     /// Time of an append to the log, in seconds.
     pub append_seconds: Histogram,
-    /// Bytes from which the next commit takes no more, where this entry leads.
+    /// Size in bytes from which the next commit takes no more records, if this entry leads.
     pub append_limit: Gauge,
     /// Appends of commits that were repeated.
     pub append_repeats: Counter,
-    /// Times that this entry began to lead.
+    /// Number of times that this entry became the leader.
     pub takeovers: Counter,
     /// Whether this entry leads.
     pub leading: Gauge,
-    /// Age of the last answer of the log, in milliseconds.
+    /// Time since the last answer of the log, in milliseconds.
     pub log_age_ms: Gauge,
     /// Version of the configuration in force.
     pub config_version: Gauge,
-    /// Jobs that are not over, where this entry leads.
+    /// Unfinished jobs, if this entry leads.
     pub open_jobs: Gauge,
-    /// Runs that may be alive, where this entry leads.
+    /// Runs that may be alive, if this entry leads.
     pub live_runs: Gauge,
-    /// Age of what is known of the jobs, in milliseconds, where this entry leads.
+    /// Age of the scheduler's view of the job log, in milliseconds, if this entry leads.
     pub view_age_ms: Gauge,
-    /// Workers that don't answer, where this entry leads.
+    /// Workers that don't answer, if this entry leads.
     pub silent_workers: Gauge,
-    /// Age of the reading by which keys are honoured, in milliseconds.
+    /// Age of the read that last confirmed the configuration, in milliseconds; decides whether API
+    /// keys are honoured.
     pub config_age_ms: Gauge,
-    /// Runs that may be alive by organisation, where this entry leads.
+    /// Runs that may be alive, by organisation, if this entry leads.
     pub organisation_runs: Organisations,
-    /// Jobs of which no task has started by organisation, where this entry leads.
+    /// Jobs of which no task has started, by organisation, if this entry leads.
     pub organisation_waiting: Organisations,
 }
 
@@ -169,12 +170,12 @@
 }
 
 impl JobMetrics {
-    /// Metrics that tell what `traffic` counts.
+    /// Metrics that export the counts of `traffic`.
     pub fn with_traffic(traffic: TrafficMeter) -> JobMetrics {
         JobMetrics { traffic, ..JobMetrics::default() }
     }
 
-    /// Brings the counters of calls up to date.
+    /// Copies the traffic totals to the exported counters.
     pub fn update_traffic(&self) {
         for (call, traffic) in self.traffic.totals() {
             let label = CallLabel { call };
@@ -261,7 +262,7 @@
         registry.register("organisation_waiting", help, self.organisation_waiting.clone());
     }
 
-    /// Sets what organisations have running and waiting, by name: runs, and jobs that wait.
+    /// Replaces the gauges of all organisations by these counts: name, runs, waiting jobs.
     pub fn set_organisations<'a>(&self, counts: impl Iterator<Item = (&'a str, usize, usize)>) {
         self.organisation_runs.clear();
         self.organisation_waiting.clear();
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Prometheus text.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
@@ -283,7 +284,7 @@
     }
 }
 
-/// Counts one more for a reason.
+/// Adds one to the counter for a reason.
 pub fn count(family: &Reasons, reason: &'static str) {
     family.get_or_create(&ReasonLabel { reason }).inc();
 }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,9 +1,9 @@
-//! Jobs: accepted from callers, kept on the log, scheduled on workers by the leader.
+//! Jobs: submitted by callers, stored in the log, scheduled on workers by the leader.
 //!
-//! Every entry accepts jobs. A bounded number of entries keeps a copy of the log ([`job_table`]) and answers from it; the
-//! others ask these ([`query`]). One entry
-//! leads at a time ([`leadership`]) and runs the [`crate::scheduler`] against the outside
-//! ([`conductor`]). What the outside looks like is behind the traits of [`ports`].
+//! Every entry accepts jobs. A bounded number of entries keeps a replica of the job log
+//! ([`job_table`]) and answers from it; the others query these ([`query`]). One entry at a time is
+//! the leader ([`leadership`]) and runs the [`crate::scheduler`] against the log, the workers and
+//! the VMs ([`conductor`]). These external services are behind the traits of [`ports`].
 
 pub mod caller_service;
 pub mod catch_up;
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -1,30 +1,31 @@
-//! What a job is: steps of tasks, what each task needs, and how tasks are named.
+//! The data model of a job: its steps and tasks, their resource demands, and their identifiers.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Most steps of a job; one more is refused as malformed.
+/// Largest number of steps of a job; a job with more is rejected as malformed.
 pub const STEPS_MAX: usize = 256;
-/// Most tasks that a job may have under way, over all its steps and occurrences that have begun. The
-/// progress of each takes up to 95 bytes of one record, its setbacks 24 more, and the log takes
-/// records of 262,144 bytes: one that did not fit would be refused for ever, and no commit would come after
-/// it.
+/// Largest number of unfinished tasks of a job, over all steps and occurrences that have begun.
+///
+/// In a progress record, a task takes up to 95 bytes and its restart counts 24 more. The log
+/// accepts records of 262,144 bytes: a larger progress record would be rejected for ever, and block
+/// every later commit.
 pub const TASKS_MAX: usize = 2_000;
-/// Longest checkpoint that is kept, in bytes; those that workers give have 16.
+/// Longest checkpoint that is stored, in bytes; workers send checkpoints of 16 bytes.
 pub const CHECKPOINT_BYTES_MAX: usize = 64;
-/// Longest text that a job hands to its tasks, in bytes.
+/// Longest payload that a job passes to its tasks, in bytes.
 pub const PAYLOAD_BYTES_MAX: usize = 4_000;
-/// Times that a scheduled job may run.
+/// Largest number of occurrences of a scheduled job.
 pub const OCCURRENCES_MAX: u32 = 100_000;
 
-/// A job's id, chosen by its caller: 16 hexadecimal digits.
+/// Id of a job, chosen by its caller: 16 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(u64);
 
 impl JobId {
-    /// Reads 16 hexadecimal digits in lower case.
+    /// Parses 16 lower-case hexadecimal digits.
     pub fn parse(text: &str) -> Option<JobId> {
         let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         if text.len() != 16 || !text.bytes().all(is_digit) {
@@ -46,12 +47,12 @@
     }
 }
 
-/// Names one task: job, occurrence, step and index in the step.
+/// Identifies one task by job, occurrence, step and index in the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskKey {
     /// The job.
     pub job: JobId,
-    /// Which run of a scheduled job; 0 for all others.
+    /// Occurrence of a scheduled job; 0 for all others.
     pub occurrence: u32,
     /// Position of the step, from 0.
     pub step: u16,
@@ -60,7 +61,7 @@
 }
 
 impl TaskKey {
-    /// Reads `JOB.OCCURRENCE.STEP.INDEX`.
+    /// Parses `JOB.OCCURRENCE.STEP.INDEX`.
     pub fn parse(text: &str) -> Option<TaskKey> {
         let mut parts = text.split('.');
         let key = TaskKey {
@@ -84,12 +85,12 @@
     }
 }
 
-/// Names one step of one occurrence of a job.
+/// Identifies one step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StepKey {
     /// The job.
     pub job: JobId,
-    /// Which run of a scheduled job.
+    /// Occurrence of a scheduled job; 0 for all others.
     pub occurrence: u32,
     /// Position of the step, from 0.
     pub step: u16,
@@ -101,7 +102,7 @@
     }
 }
 
-/// An amount of each resource of a VM.
+/// Amount of each resource of a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceVector {
     /// Processor, in thousandths of a core.
@@ -113,7 +114,7 @@
 }
 
 impl ResourceVector {
-    /// Whether `other` fits into this.
+    /// Whether no amount of `other` exceeds this one.
     pub fn covers(&self, other: &ResourceVector) -> bool {
         self.cpu >= other.cpu
             && self.memory >= other.memory
@@ -127,7 +128,7 @@
         self.accelerators += other.accelerators;
     }
 
-    /// What is left when an amount is taken, nothing below zero.
+    /// Subtracts an amount, stopping at zero.
     pub fn saturating_sub(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The amount taken `count` times.
+    /// Multiplies each amount by `count`.
     pub fn times(&self, count: u64) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu * count,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// A hundredth of the amount.
+    /// Divides each amount by 100.
     pub fn hundredth(&self) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu / 100,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Of each resource the larger amount.
+    /// The larger amount of each resource.
     pub fn component_max(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
             cpu: self.cpu.max(other.cpu),
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The largest share of `capacity` that this takes in any resource, in thousandths.
+    /// The largest share of `capacity` that this takes of any resource, in thousandths.
     pub fn dominant_share_of(&self, capacity: &ResourceVector) -> u64 {
         let share = |own: u64, all: u64| match (own, all) {
             (0, _) => 0,
@@ -179,42 +180,42 @@
 /// One step of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// Tasks of the step.
+    /// Number of tasks.
     pub count: u32,
-    /// What each task takes of a worker.
+    /// Resources that each task uses on its worker.
     pub need: ResourceVector,
-    /// Declared run time of a task, in milliseconds; often far off.
+    /// Declared run time of a task, in milliseconds; often far from the actual one.
     pub estimate_ms: u64,
-    /// Earlier steps whose tasks must all be done first.
+    /// Positions of earlier steps that must be complete first.
     pub after: Vec<u16>,
-    /// Whether tasks save their progress and can resume.
+    /// Whether tasks save checkpoints and can resume from them.
     pub is_resumable: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks must all run at the same time.
     pub is_gang: bool,
     /// Whether the gang is slower when it spans racks.
     pub wants_one_rack: bool,
     /// Label that a worker must have.
     pub required_label: Option<String>,
-    /// Rack where the data lies; elsewhere the tasks take longer.
+    /// Rack that holds the input data; tasks take longer elsewhere.
     pub data_rack: Option<String>,
-    /// Most tasks of the step on one worker; 0 for no bound.
+    /// Largest number of tasks of the step on one worker; 0 for no limit.
     pub per_worker_max: u32,
-    /// Whether copies of a task may run at the same time.
+    /// Whether several runs of the same task may be active at the same time.
     pub allows_copies: bool,
     /// Whether the tasks run until the job is cancelled.
     pub is_service: bool,
-    /// Program that the tasks run; tasks of one program behave alike.
+    /// Program that the tasks run; tasks with the same image are expected to behave alike.
     pub image: String,
-    /// Bound for the tail latency of a service task, in milliseconds; 0 for none.
+    /// Upper limit for the tail latency of a service task, in milliseconds; 0 for none.
     pub target_ms: u64,
-    /// Whether the tasks take only processor time that others leave.
+    /// Whether the tasks use only processor time that other tasks leave idle.
     pub is_best_effort: bool,
-    /// Service tasks that may be away at once by the system's own doing.
+    /// Number of service tasks that the system itself may take down at the same time.
     pub disruption_budget: u32,
 }
 
 impl StepSpec {
-    /// What a task counts against a worker's capacity.
+    /// Resources that a task reserves on its worker: no processor time if it is best-effort.
     pub fn reservation(&self) -> ResourceVector {
         match self.is_best_effort {
             true => ResourceVector { cpu: 0, ..self.need },
@@ -223,45 +224,48 @@
     }
 }
 
-/// When a scheduled job runs.
+/// Start times of a scheduled job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSchedule {
-    /// Times that the steps run.
+    /// Number of times that the steps run.
     pub occurrences: u32,
-    /// First due time, in milliseconds since the epoch.
+    /// When the first occurrence is due, in milliseconds since the epoch.
     pub first_ms: u64,
-    /// Time between two due times, in milliseconds.
+    /// Time between two occurrences, in milliseconds.
     pub interval_ms: u64,
 }
 
-/// A job as its caller handed it in.
+/// A job as its caller submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Text for the tasks, not read here.
+    /// Opaque text that is passed to the tasks.
     pub payload: String,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// When it runs; none for at once.
+    /// When the job runs; `None` to run it at once.
     pub schedule: Option<JobSchedule>,
 }
 
-/// Why a job can't be taken.
+/// Why a job specification is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpecFault {
-    /// No step, or too many.
+    /// No steps, or too many.
     StepCount,
-    /// A step with no task, or too many tasks in all.
+    /// A step without tasks, or too many tasks in all.
     TaskCount,
-    /// The text for the tasks is too long.
+    /// The payload is too long.
     Payload,
-    /// A step waits for itself or a later one, or for one twice.
+    /// A step depends on itself or on a later step, or more than once on the same step.
     StepOrder,
-    /// The schedule has no occurrence, too many, or no interval.
+    /// The schedule has no occurrences, too many, or several without an interval.
     Schedule,
 }
 
 impl JobSpec {
-    /// Finds what no worker could ever make sense of.
+    /// Checks for faults with which no worker could ever run the job.
+    ///
+    /// # Errors
+    /// The first fault that was found.
     pub fn check(&self) -> Result<(), SpecFault> {
         if self.steps.is_empty() || self.steps.len() > STEPS_MAX {
             return Err(SpecFault::StepCount);
@@ -288,13 +292,13 @@
         }
     }
 
-    /// Tasks of one occurrence.
+    /// Number of tasks of one occurrence.
     pub fn task_count(&self) -> usize {
         let count = |step: &StepSpec| usize::try_from(step.count).unwrap_or(usize::MAX);
         self.steps.iter().map(count).fold(0, usize::saturating_add)
     }
 
-    /// Times that the steps run.
+    /// Number of times that the steps run; 1 without a schedule.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.occurrences)
     }
@@ -306,36 +310,36 @@
     }
 }
 
-/// A job that was accepted.
+/// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSubmission {
-    /// Name of its queue.
+    /// Name of the queue that it was submitted to.
     pub queue: Arc<str>,
-    /// Pool that the queue was served by when the job was accepted.
+    /// Pool that served the queue when the job was accepted.
     pub service: Arc<str>,
-    /// When an entry accepted it, in milliseconds since the epoch by that entry's clock.
+    /// When an entry accepted it, in milliseconds since the epoch on that entry's clock.
     pub accepted_ms: u64,
-    /// What it is; empty once the job is over.
+    /// The specification; empty once the job is finished.
     pub spec: JobSpec,
-    /// Tasks of a job that is over, for operators; 0 while the spec tells.
+    /// Task count of a finished job, kept for operators; 0 while the specification is present.
     pub kept_task_count: usize,
-    /// Organisation of the caller; none for a queue that is open to all.
+    /// Organisation of the caller; `None` for a queue that needs no API key.
     pub organisation: Option<Arc<str>>,
 }
 
 impl JobSubmission {
-    /// The same without its text and steps, for a job that is over.
+    /// A copy without the specification, to be stored for a finished job.
     pub fn without_spec(&self) -> JobSubmission {
         let spec = JobSpec { payload: String::new(), steps: Vec::new(), schedule: None };
         JobSubmission { spec, kept_task_count: self.task_count(), ..self.clone() }
     }
 
-    /// Tasks of one occurrence, also of a job that is over.
+    /// Number of tasks of one occurrence, also of a finished job.
     pub fn task_count(&self) -> usize {
         if self.has_no_spec() { self.kept_task_count } else { self.spec.task_count() }
     }
 
-    /// Whether it is what is kept of a job that is over: no caller's job has no step.
+    /// Whether this is the remainder of a finished job. Submitted jobs have at least one step.
     pub fn has_no_spec(&self) -> bool {
         self.spec.steps.is_empty()
     }
@@ -344,37 +348,37 @@
 /// How a run of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ExitKind {
-    /// It did its work.
+    /// It completed its work.
     Done,
-    /// It failed by its own fault or the worker's.
+    /// It failed, through its own fault or that of the worker.
     Failed,
-    /// It was told to stop.
+    /// It was stopped on request.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
-    /// It waited in vain for the rest of its gang.
+    /// The rest of its gang did not start in time.
     GangIncomplete,
 }
 
-/// What a caller may be told of a job.
+/// State of a job as shown to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task has started.
+    /// No task has started yet.
     Queued,
-    /// A task has started.
+    /// At least one task has started.
     Running,
-    /// All tasks are done.
+    /// All tasks are complete.
     Completed,
-    /// A task has used up its attempts.
+    /// The job was given up after a task failed too often.
     Failed,
     /// It was cancelled.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing of the job will run again.
+    /// Whether no task of the job will run again.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Completed | JobState::Failed | JobState::Cancelled)
     }
--- a/src/jobs/ports.rs
+++ b/src/jobs/ports.rs
@@ -1,7 +1,8 @@
-//! What the job side needs of the outside, as traits: a log, workers, VMs, placement permits.
+//! Traits for the external services that jobs depend on: the log, the workers, the VMs, the
+//! placement policy service.
 //!
-//! Each call has a typed outcome that keeps apart what certainly did not happen from what may
-//! have happened. The decisions rest on that difference.
+//! The outcome type of each call distinguishes what certainly did not happen from what may have
+//! happened. Scheduling decisions depend on this difference.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,64 +18,65 @@
 /// A stream of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LogTopic {
-    /// Jobs; keyed.
+    /// Records of jobs; keyed.
     Jobs,
-    /// Who leads; plain records.
+    /// Claims and renewals of the leadership; plain records.
     Leadership,
-    /// What operators wrote; keyed, read only.
+    /// Records written by operators; keyed, read only.
     Operator,
-    /// What workers report of themselves; keyed, read only.
+    /// Reports of workers about themselves; keyed, read only.
     Workers,
-    /// What operators read; keyed.
+    /// Status records for operators; keyed.
     Status,
 }
 
-/// Makes appends idempotent, and fences writers of lower epochs.
+/// Identifies an append, so that the log performs repeats of it once and rejects writers with lower
+/// epochs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriterStamp {
     /// Name of the writer.
     pub writer: Arc<str>,
-    /// Epoch; a higher one shuts out all lower ones.
+    /// Epoch of the writer; a higher epoch fences all lower ones.
     pub epoch: u64,
-    /// Number of the append in its epoch, without gaps.
+    /// Number of the append within the epoch, without gaps.
     pub sequence: u64,
 }
 
-/// One append: all its records or none.
+/// An append of records, all of which are stored or none.
 #[derive(Clone, Debug)]
 pub struct AppendCall {
     /// Stream.
     pub topic: LogTopic,
-    /// Records; in a plain stream the keys are not used.
+    /// The records; plain streams ignore the keys.
     pub records: Vec<KeyedRecord>,
-    /// Only if the stream ends at this offset.
+    /// Offset at which the stream must end for the append to be done; `None` for any.
     pub expected_end: Option<u64>,
-    /// Idempotence, if wanted.
+    /// Makes repeats idempotent, if present.
     pub stamp: Option<WriterStamp>,
 }
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// Done, now or by an earlier try.
+    /// Done, by this attempt or an earlier one.
     Done {
         /// Offset of the first record.
         offset: u64,
-        /// End of the stream after it.
+        /// End of the stream after the append.
         end: u64,
     },
-    /// The stream ends elsewhere; nothing was done.
+    /// The stream ends at another offset; nothing was done.
     EndMoved {
-        /// Where it ends.
+        /// Current end of the stream.
         end: u64,
     },
-    /// A higher epoch has written; nothing was done and never will be.
+    /// A writer with a higher epoch has appended; nothing was done, and nothing will be.
     Fenced,
-    /// Another number was due; nothing was done.
+    /// The log expected another sequence number; nothing was done.
     OutOfSequence,
-    /// Refused for now; nothing was done.
+    /// Rejected for the moment; nothing was done.
     Refused,
-    /// No answer: it may have been done, or may be done yet.
+    /// No answer: the append may have been done, or may still be done later.
     Unknown,
 }
 
@@ -83,40 +85,40 @@
 pub struct LogBatch {
     /// Offset after the last record of the stream.
     pub end: u64,
-    /// Offset to read from next.
+    /// Offset to continue reading from.
     pub next: u64,
     /// Records with their offsets.
     pub records: Vec<(u64, KeyedRecord)>,
 }
 
-/// What became of a read.
+/// Outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Records, or none if the wait ended first.
+    /// Records, or none if the wait ended without any.
     Read(LogBatch),
-    /// The log no longer keeps what was asked for.
+    /// The log no longer has the requested offset.
     Expired {
-        /// Oldest offset kept.
+        /// Oldest offset that the log still has.
         first: u64,
     },
-    /// Refused for now.
+    /// Rejected for the moment.
     Refused,
-    /// No answer, or one that can't be read.
+    /// No answer, or one that can't be decoded.
     Unknown,
 }
 
-/// A page of the newest record of each key.
+/// A page of a snapshot that has the newest record of each key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NewestPage {
     /// Records with their offsets.
     pub records: Vec<(u64, KeyedRecord)>,
-    /// Whether there are more after the last key.
+    /// Whether more keys follow.
     pub has_more: bool,
     /// End of the stream when the page was made.
     pub end: u64,
 }
 
-/// The platform's log.
+/// Client of the log service.
 pub trait JobLog: Clone + Send + Sync + 'static {
     /// Appends records.
     fn append(
@@ -125,12 +127,12 @@
         timeout: Duration,
     ) -> impl Future<Output = AppendOutcome> + Send;
 
-    /// Bytes from which the next append should take no more records.
+    /// Size in bytes from which the next append should take no more records.
     fn append_limit(&self) -> usize {
         APPEND_BYTES_MAX
     }
 
-    /// Reads from an offset; waits for a record up to `wait`.
+    /// Reads records from an offset on; waits up to `wait` for the first one.
     fn read(
         &self,
         topic: LogTopic,
@@ -138,7 +140,7 @@
         wait: Duration,
     ) -> impl Future<Output = ReadOutcome> + Send;
 
-    /// Newest record of each key after `after`.
+    /// Reads the newest record of each key that comes after the key `after`.
     fn newest(
         &self,
         topic: LogTopic,
@@ -146,29 +148,29 @@
     ) -> impl Future<Output = Option<NewestPage>> + Send;
 }
 
-/// One life of a worker, as a call must reach it.
+/// Address of one incarnation of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerTarget {
-    /// Id of that life; any other life refuses the call.
+    /// Id of the incarnation; any other incarnation rejects the call.
     pub id: Arc<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
-/// Renews the leases of all that runs on a worker and asks what runs and what has ended.
+/// Extends the leases of all runs on a worker, and asks which runs are active and which have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RenewCall {
     /// Fencing token.
     pub fence: u64,
-    /// Exits up to this number may be forgotten.
+    /// The worker may forget exits up to this number.
     pub acked_exits: u64,
-    /// New end of the leases on the worker's clock, in milliseconds; none to leave it.
+    /// New end of the leases on the worker's clock, in milliseconds; `None` to leave it unchanged.
     pub lease_until_ms: Option<u64>,
-    /// Time to wait for an exit.
+    /// How long the worker may hold the answer back until a run ends.
     pub wait: Duration,
 }
 
-/// A run that is on a worker.
+/// A run that is active on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningTask {
     /// Task.
@@ -177,73 +179,74 @@
     pub run: u32,
     /// Newest checkpoint; empty for none.
     pub checkpoint: String,
-    /// Progress in percent; 100 for a service task at work.
+    /// Progress in percent; 100 for a service task that is working.
     pub percent: u32,
-    /// Tail latency of a service task in milliseconds, processor in use of any other.
+    /// Tail latency in milliseconds for a service task, processor in use for any other.
     pub gauge: Option<u64>,
 }
 
 /// A run that has ended on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskExit {
-    /// Its number in this life of the worker, from 1.
+    /// Its number in this incarnation of the worker, from 1.
     pub number: u64,
     /// Task.
     pub task: TaskKey,
     /// Run number.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub kind: ExitKind,
     /// Newest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// What a worker says of itself.
+/// State of a worker, as it reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// Its steady clock, in milliseconds.
+    /// The worker's monotonic clock, in milliseconds.
     pub clock_ms: u64,
-    /// When the life that reports began, in milliseconds since the epoch, where workers tell.
+    /// When the reporting incarnation started, in milliseconds since the epoch; `None` if workers
+    /// don't report it.
     pub started_ms: Option<u64>,
-    /// What runs.
+    /// Active runs.
     pub running: Vec<RunningTask>,
-    /// What has ended and was not forgotten yet.
+    /// Runs that have ended and whose exits were not forgotten yet.
     pub exits: Vec<TaskExit>,
 }
 
-/// Why a worker has not done what it was told.
+/// Why a worker rejected a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CommandRefusal {
     /// Another sender has used a higher fencing token.
     Fenced,
-    /// The run number is not above one that ended or was stopped there.
+    /// The run number is not higher than one that ended or was stopped there.
     OldRun,
-    /// The lease would have ended already.
+    /// The lease would have expired already.
     LeaseExpired,
-    /// It does not fit.
+    /// The worker's free capacity is too small.
     NoCapacity,
-    /// The permit is missing or not valid.
+    /// The permit is missing or invalid.
     InvalidPermit,
-    /// The worker is not well and has done nothing.
+    /// The worker is unhealthy and has done nothing.
     Unhealthy,
-    /// Another life of a worker answers at the address.
+    /// Another incarnation of a worker answers at the address.
     WrongIncarnation,
-    /// The call is malformed in its eyes.
+    /// The worker considers the call malformed.
     Malformed,
 }
 
-/// What became of a call to a worker.
+/// Outcome of a command to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome<A> {
-    /// Done, now or before.
+    /// Done, by this call or an earlier one.
     Done(A),
-    /// Refused; nothing was done.
+    /// Rejected, nothing was done; with the worker's clock in milliseconds, if it reported it.
     Refused(CommandRefusal, Option<u64>),
-    /// No answer: it may have been done, or may be done seconds later.
+    /// No answer: the command may have been done, or may still be done seconds later.
     Unknown,
 }
 
-/// The word for what became of a start, in metrics.
+/// Metric label for the outcome of a start.
 pub fn start_label(outcome: &CommandOutcome<u64>) -> &'static str {
     match outcome {
         CommandOutcome::Done(_) => "done",
@@ -252,7 +255,7 @@
     }
 }
 
-/// The word for a refusal in logs and metrics.
+/// Label for a rejection in logs and metrics.
 pub fn refusal_label(refusal: CommandRefusal) -> &'static str {
     match refusal {
         CommandRefusal::Fenced => "fenced",
@@ -273,9 +276,9 @@
     pub task: TaskKey,
     /// Run number.
     pub run: u32,
-    /// Text for the task.
+    /// Opaque text that is passed to the task.
     pub payload: Arc<str>,
-    /// End of its lease on the worker's clock, in milliseconds.
+    /// End of the run's lease on the worker's clock, in milliseconds.
     pub lease_until_ms: u64,
     /// Fencing token.
     pub fence: u64,
@@ -296,16 +299,19 @@
     pub fence: u64,
 }
 
-/// Time for which the answer to a renewal is read on after it was given up. A worker counts the exits
-/// that it has listed as known, whether anybody has read them; on a link that is choked they arrive
-/// seconds later, and a task whose end is on its way must not be started again.
+/// Additional time for which the answer to a renewal is still read after the renewal has timed out.
+///
+/// A worker treats the exits that it has listed as delivered, even if nobody has read them. On a
+/// congested link they arrive seconds later, and a task whose exit is on its way must not be
+/// started again.
 pub const LATE_ANSWER_GRACE: Duration = Duration::from_secs(4);
 
-/// The workers.
+/// Client of the workers.
 pub trait WorkerClient: Clone + Send + Sync + 'static {
-    /// Renews leases and asks what runs. After `timeout` beyond the wait that was asked for the worker counts
-    /// as silent, and no other call may rest on what was open to it; the answer is still taken when it comes
-    /// within [`LATE_ANSWER_GRACE`] more.
+    /// Renews leases and asks which runs are active. If there is no answer within `timeout` after
+    /// the requested wait, the worker counts as silent, and no other call may rely on the
+    /// connections that were open to it. The answer is still accepted within another
+    /// [`LATE_ANSWER_GRACE`].
     fn renew(
         &self,
         target: &WorkerTarget,
@@ -313,7 +319,7 @@
         timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<WorkerReport>> + Send;
 
-    /// Starts a run; answers with the worker's clock.
+    /// Starts a run; returns the worker's clock in milliseconds.
     fn start(
         &self,
         target: &WorkerTarget,
@@ -321,7 +327,7 @@
         timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<u64>> + Send;
 
-    /// Stops a run; answers with the worker's clock.
+    /// Stops a run; returns the worker's clock in milliseconds.
     fn stop(
         &self,
         target: &WorkerTarget,
@@ -329,7 +335,7 @@
         timeout: Duration,
     ) -> impl Future<Output = CommandOutcome<u64>> + Send;
 
-    /// Lets a run work at a share of its speed, in percent.
+    /// Limits a run to a percentage of its speed; returns the worker's clock in milliseconds.
     fn throttle(
         &self,
         target: &WorkerTarget,
@@ -339,10 +345,10 @@
     ) -> impl Future<Output = CommandOutcome<u64>> + Send;
 }
 
-/// Who commands a VM, and the token that shuts out earlier holders.
+/// Identifies the sender of VM commands, with a fencing token that excludes earlier senders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmStamp {
-    /// Name of the holder.
+    /// Name of the sender.
     pub holder: Arc<str>,
     /// Fencing token.
     pub fence: u64,
@@ -351,14 +357,14 @@
 /// A command to a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VmCommand {
-    /// Move to a pool; what runs on it ends at once.
+    /// Moves the VM to a pool; everything that runs on it ends at once.
     Assign {
         /// VM.
         vm: Arc<str>,
-        /// Pool.
+        /// New pool.
         pool: Arc<str>,
     },
-    /// Maintain for a wave; what runs on it ends at once.
+    /// Maintains the VM for a wave; everything that runs on it ends at once.
     Maintain {
         /// VM.
         vm: Arc<str>,
@@ -368,7 +374,7 @@
 }
 
 impl VmCommand {
-    /// The VM that is commanded.
+    /// The VM that the command is for.
     pub fn vm(&self) -> &Arc<str> {
         match self {
             VmCommand::Assign { vm, .. } | VmCommand::Maintain { vm, .. } => vm,
@@ -376,34 +382,34 @@
     }
 }
 
-/// What became of a command to a VM.
+/// Outcome of a command to a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VmOutcome {
-    /// Done, now or before.
+    /// Done, by this call or an earlier one.
     Done,
-    /// Another holder has used a higher token; nothing was done.
+    /// Another sender has used a higher fencing token; nothing was done.
     Fenced,
-    /// Not up, or leaving; nothing was done.
+    /// The VM is not up, or is leaving; nothing was done.
     Busy,
-    /// Not of that wave, or no such VM or pool; nothing was done.
+    /// The VM is not in that wave, or there is no such VM or pool; nothing was done.
     Malformed,
-    /// Too many calls, or the service is away; nothing was done.
+    /// Too many calls, or the service is unavailable; nothing was done.
     Refused,
-    /// No answer: it may have been done, or may be done yet.
+    /// No answer: the command may have been done, or may still be done later.
     Unknown,
 }
 
-/// Time for a command to a VM to be answered, in milliseconds; a slow service takes 50 times its usual
-/// few milliseconds. A successor counts on it: see [`crate::scheduler::VM_COMMAND_LIFETIME_MS`].
+/// Timeout for a command to a VM, in milliseconds; a slow service takes 50 times its usual few
+/// milliseconds. Successors of a leader rely on it: see [`crate::scheduler::VM_COMMAND_LIFE_MS`].
 pub const VM_COMMAND_TIMEOUT_MS: u64 = 600;
 
-/// The platform's VMs.
+/// Client of the VM service.
 pub trait VmClient: Clone + Send + Sync + 'static {
-    /// The whole list; nothing if any page of it can't be had.
+    /// Lists all VMs; `None` if any page of the list can't be read.
     fn list(&self) -> impl Future<Output = Option<Vec<VmEntry>>> + Send;
 
-    /// Commands a VM, if `may_send` still holds when the connection is open. Without an answer within
-    /// [`VM_COMMAND_TIMEOUT_MS`] nothing of it is under way any more.
+    /// Sends a command, if `may_send` still returns true once the connection is open. After
+    /// [`VM_COMMAND_TIMEOUT_MS`] without an answer, no part of the command is in flight any more.
     fn command(
         &self,
         command: &VmCommand,
@@ -412,18 +418,18 @@
     ) -> impl Future<Output = VmOutcome> + Send;
 }
 
-/// Permits of a step by worker id.
+/// Permits for the tasks of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PermitGrant {
-    /// Workers that may run the step, with their permits.
+    /// Ids of the workers that may run the step, each with its permit.
     pub allowed: Vec<(Arc<str>, Arc<str>)>,
-    /// Time that the permits are valid, in milliseconds.
+    /// Time for which the permits are valid, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// The placement policy service.
+/// Client of the placement policy service.
 pub trait PermitClient: Clone + Send + Sync + 'static {
-    /// Which of these workers may run the step; nothing if there was no answer.
+    /// Asks which of these workers may run the step; `None` without an answer.
     fn ask(
         &self,
         step: &StepKey,
--- a/src/jobs/query.rs
+++ b/src/jobs/query.rs
@@ -1,10 +1,12 @@
-//! Questions of entries without a copy of the job log, to those that keep one.
+//! Queries from entries without a replica of the job log to entries that have one.
 //!
-//! The load that this answers: callers ask any entry for any job, and hundreds of entries have no copy. Each question
-//! is a few dozen bytes, and is put to an entry of the same data centre where there is one. A copy that does not know
-//! a job is brought up to date first, once for all that asked meanwhile, so that "no such job" is as true as where the
-//! asking entry had read the log itself. An entry that does not answer is passed over for a while. An answer out of a
-//! copy that stands still, as its log is away, counts only where no other can be had.
+//! Callers may ask any entry for any job, and hundreds of entries have no replica. A query is a few
+//! dozen bytes and goes to an entry in the same data centre if possible. A replica that does not
+//! know a job first catches up with the log, once for all queries that arrive meanwhile, so that
+//! "no such job" is as reliable as if the querying entry had read the log itself.
+//!
+//! An entry that does not answer is skipped for a while. If an entry can't reach the log, its
+//! answer may be stale and is used only if there is no other.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,44 +27,44 @@
 use crate::jobs::relay::KnownJob;
 use crate::transport::{HttpCall, HttpTransport};
 
-/// Path of a question.
+/// Path of a query.
 pub const QUERY_PATH: &str = "/question";
-/// Largest question, in bytes.
+/// Largest query, in bytes.
 pub const QUERY_BYTES_MAX: usize = 4 << 10;
-/// Time for one entry to answer: it may have to read the log first.
+/// Time limit for one entry to answer, which may have to read the log first.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time for all entries that are asked one after the other: the caller has time left for another entry.
+/// Time limit for all attempts together; leaves the caller time to try another entry.
 const TOTAL_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Entries that are asked at most.
+/// Largest number of entries that are asked.
 const ENTRIES_ASKED_MAX: usize = 4;
-/// Time for which an entry that did not answer is passed over, in milliseconds.
+/// Time for which an entry that did not answer is skipped, in milliseconds.
 const SKIP_MS: u64 = 2_000;
 
-/// What is asked.
+/// A query to an entry with a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobQuery {
-    /// A job's state.
+    /// State of a job.
     Job(JobId),
-    /// Jobs of a queue of which no task has started.
+    /// Number of jobs of a queue of which no task has started.
     Waiting(Arc<str>),
 }
 
-/// What a copy tells.
+/// Answer to a [`JobQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobAnswer {
-    /// A job; nothing if the log has none.
+    /// The job; `None` if the log does not have it.
     Job(Option<KnownJob>),
-    /// Such jobs.
+    /// Number of waiting jobs.
     Waiting(u64),
-    /// A job as it was when the log could last be read.
+    /// The job as of the last successful read; the log can't be read now.
     Stale(KnownJob),
 }
 
-/// Answers a question out of this entry's copy.
+/// Answers a query from this entry's replica.
 ///
 /// # Errors
-/// `MISDIRECTED_REQUEST` without a whole copy, `SERVICE_UNAVAILABLE` where it can't be brought up to date,
-/// `BAD_REQUEST` if the question can't be read.
+/// `MISDIRECTED_REQUEST` without a complete replica, `SERVICE_UNAVAILABLE` if it can't be brought
+/// up to date, `BAD_REQUEST` if the query can't be decoded.
 pub async fn answer<L: JobLog>(
     node: &JobNode,
     reader: &CatchUpReader<L>,
@@ -88,7 +90,7 @@
     }
 }
 
-/// Puts questions to entries with a copy.
+/// Sends queries to entries with a replica.
 #[derive(Clone)]
 pub struct QueryClient {
     transport: HttpTransport,
@@ -97,13 +99,13 @@
 }
 
 impl QueryClient {
-    /// A client over this transport.
+    /// A client that uses this transport.
     pub fn new(transport: HttpTransport) -> QueryClient {
         let rotation = Arc::new(AtomicUsize::new(rand::random::<u16>().into()));
         QueryClient { transport, rotation, skipped: Arc::default() }
     }
 
-    /// Asks one entry after the other; nothing if none can tell.
+    /// Asks one entry after the other; `None` if none can answer.
     pub async fn ask(&self, node: &JobNode, query: &JobQuery) -> Option<JobAnswer> {
         let body = Bytes::from(postcard::to_stdvec(query).ok()?);
         let begun = Instant::now();
@@ -129,7 +131,7 @@
         stale
     }
 
-    /// Whom to ask: those that have not answered lately last.
+    /// Entries to ask, in order; those that did not answer recently come last.
     fn candidates(&self, node: &JobNode) -> Vec<SocketAddr> {
         let (now, own) = (node.now(), node.settings.peer);
         let rotation = self.rotation.fetch_add(1, Ordering::Relaxed);
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,10 +1,11 @@
-//! What is kept of a job on the log.
+//! Records of the job log and their encoding.
 //!
-//! Three keys a job, so that no writer overwrites what another one says: the submission and the
-//! cancellation may be written by any entry and any number of times, the progress by the leader
-//! alone. The log keeps the newest record of each key. A cancellation by an entry that does not know
-//! the job, where callers belong to organisations, has a key for each organisation: whether it counts
-//! is seen once the job is there.
+//! Each job has three keys, so that no writer overwrites the data of another one. Any entry may
+//! write the submission and the cancellation, any number of times; only the leader writes the
+//! progress. The log keeps the newest record of each key.
+//!
+//! Where callers belong to organisations, a cancellation by an entry that does not know the job has
+//! a separate key for each organisation. Whether it applies is decided once the job is known.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,72 +16,74 @@
 use crate::decide::access::OrganisationDigest;
 use crate::jobs::model::{JobId, JobState, JobSubmission, TaskKey};
 
-/// What one record of the job log says.
+/// One record of the job log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobRecord {
-    /// A caller handed the job in.
+    /// A caller submitted the job.
     Submitted(JobId, Arc<JobSubmission>),
-    /// A caller cancelled it.
+    /// A caller cancelled the job.
     Cancelled(JobId),
-    /// A caller cancelled it before its entry knew it; counts if that caller may see it.
+    /// A caller cancelled the job before the caller's entry knew it; applies if that caller may see
+    /// the job.
     CancelledBy(JobId, OrganisationDigest),
-    /// How far it is.
+    /// Progress of the job.
     Progress(JobId, Arc<JobProgress>),
-    /// One of its keys was dropped; the job is over for long.
+    /// One of the job's keys was dropped; the job finished long ago.
     Dropped(JobId),
-    /// Such a cancellation was dropped.
+    /// A [`JobRecord::CancelledBy`] was dropped.
     TombstoneDropped(JobId, OrganisationDigest),
-    /// VMs of a maintenance wave that have been maintained, by the number of the wave.
+    /// VMs of a maintenance wave whose maintenance is complete, by the number of the wave.
     Wave(u64, Arc<BTreeSet<Arc<str>>>),
-    /// VMs of a pool that have lost their workers lately by what no task is likely to have caused, the latest last.
+    /// VMs of a pool that lost their workers recently, probably for a reason other than a task; the
+    /// latest last.
     Losses(Arc<str>, Arc<Vec<LostVm>>),
 }
 
 /// A VM whose worker was lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostVm {
-    /// Where the worker was.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// When it was learned of, in milliseconds since the epoch.
+    /// When the loss was detected, in milliseconds since the epoch.
     pub lost_ms: u64,
     /// Tasks that ran there, of jobs that have lost a worker.
     pub running_tasks: Vec<TaskKey>,
 }
 
-/// How far a job is, whole: each record replaces the one before.
+/// Progress of a job. Each record is complete and replaces the previous one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobProgress {
     /// Term of the leader that wrote it.
     pub term: u64,
-    /// State for callers.
+    /// State as shown to callers.
     pub state: JobState,
     /// When the state became final, in milliseconds since the epoch.
     pub ended_ms: u64,
-    /// Occurrences before this one are done.
+    /// Number of occurrences that are complete; later ones are not.
     pub occurrences_done: u32,
-    /// Steps whose tasks are all done, by occurrence and position.
+    /// Steps whose tasks are all complete, by occurrence and position.
     pub steps_done: Vec<(u32, u16)>,
-    /// Tasks of other steps of which there is something to say.
+    /// Tasks of unfinished steps that differ from a task that never started.
     pub tasks: Vec<TaskProgress>,
-    /// Workers that the tasks name.
+    /// Workers that the tasks refer to by position.
     pub workers: Vec<Arc<str>>,
-    /// Tasks that were set back. Records from before it was kept end here.
+    /// Restart counts of tasks that have any. Records from before this field was added end here.
     pub restarts: Vec<TaskRestarts>,
-    /// When a run of each of these was last known to be alive, in milliseconds since the epoch; 0 for not known.
-    /// Last, as earlier records end here.
+    /// When a run of each task in `restarts` was last known to be alive, in milliseconds since the
+    /// epoch; 0 if unknown. Last field, since older records end before it.
     pub last_alive_ms: Vec<u64>,
 }
 
-/// Workers that were lost under a task.
+/// Number of workers that were lost while a task ran on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossCount {
-    /// All of them.
+    /// All losses.
     pub total: u32,
-    /// Those that were lost while the task was just starting there.
+    /// Losses while the task was just starting on the worker.
     pub at_start: u32,
 }
 
-/// What bounds how often a task is started anew, beside its failures.
+/// Counts that limit how often a task is restarted, in addition to its failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRestarts {
     /// Occurrence of the job.
@@ -89,13 +92,13 @@
     pub step: u16,
     /// Index in the step.
     pub index: u32,
-    /// Workers that were lost under it.
+    /// Workers that were lost while they ran the task.
     pub losses: LossCount,
-    /// Times that it was moved for being slow or stalled.
+    /// Number of times that the task was moved for being slow or stalled.
     pub moves: u32,
 }
 
-/// How far a task is.
+/// Progress of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
     /// Occurrence of the job.
@@ -104,13 +107,13 @@
     pub step: u16,
     /// Index in the step.
     pub index: u32,
-    /// Highest run number given out.
+    /// Highest run number used so far.
     pub run: u32,
-    /// Runs that ended in failure.
+    /// Number of runs that ended in failure.
     pub failures: u32,
     /// Whether it is done.
     pub is_done: bool,
-    /// Runs that may be alive: position of the worker in the list, and run number.
+    /// Runs that may be alive: position of the worker in [`JobProgress::workers`], and run number.
     pub live: Vec<(u16, u32)>,
     /// Newest checkpoint; empty for none.
     pub checkpoint: String,
@@ -119,22 +122,22 @@
 const SUBMITTED: &str = "s";
 const CANCELLED: &str = "x";
 const PROGRESS: &str = "p";
-/// Between the job and the mark in the key of a cancellation that has one.
+/// Separates the job from the organisation digest in the key of a [`JobRecord::CancelledBy`].
 const DIGEST_SEPARATOR: char = '.';
 const WAVE: &str = "w";
 const LOSSES: &str = "l";
 
-/// A record as the log keeps it.
+/// An encoded record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
     /// Its key.
     pub key: String,
-    /// Its value; empty if the key is dropped.
+    /// Its value; empty to drop the key.
     pub value: Vec<u8>,
 }
 
 impl JobRecord {
-    /// The job that it tells of.
+    /// The job that the record belongs to.
     pub fn job(&self) -> Option<JobId> {
         match self {
             JobRecord::Submitted(job, _)
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Writes a record that is not a drop.
+    /// Encodes a record; `None` for a drop.
     pub fn encode(&self) -> Option<KeyedRecord> {
         if let JobRecord::Wave(number, done) = self {
             let value = postcard::to_stdvec(&**done).ok()?;
@@ -176,13 +179,13 @@
         Some(KeyedRecord { key: format!("{prefix}{job}"), value })
     }
 
-    /// The record that drops a cancellation by an entry that did not know the job.
+    /// The record that drops a [`JobRecord::CancelledBy`].
     pub fn drop_tombstone(job: JobId, digest: OrganisationDigest) -> KeyedRecord {
         KeyedRecord { key: tombstone_key(job, digest), value: Vec::new() }
     }
 
-    /// The records that drop every key of a job. The submission goes last: a reader that sees only
-    /// some of them must not take the job for one that has not begun.
+    /// The records that drop every key of a job. The submission comes last: a reader that has seen
+    /// only some of them must not mistake the job for one that has not begun.
     pub fn drop_records(job: JobId) -> Vec<KeyedRecord> {
         [CANCELLED, PROGRESS, SUBMITTED]
             .iter()
@@ -190,7 +193,7 @@
             .collect()
     }
 
-    /// Reads a record; nothing if it is malformed.
+    /// Decodes a record; `None` if it is malformed.
     pub fn decode(key: &str, value: &[u8]) -> Option<JobRecord> {
         if let Some(number) = key.strip_prefix(WAVE) {
             let done = postcard::from_bytes(value).ok()?;
@@ -228,8 +231,8 @@
     format!("{CANCELLED}{job}{DIGEST_SEPARATOR}{digest}")
 }
 
-/// Reads a job's progress, also as it was written before its last lists were kept: then they are missing at the
-/// end, and a process of this version that takes over would know nothing of jobs that run.
+/// Decodes a job's progress. Records of older versions lack one or both lists at the end; if these
+/// were rejected, a leader of this version would lose track of jobs that are running.
 fn decode_progress(value: &[u8]) -> Option<JobProgress> {
     const NO_LIST: u8 = 0;
     let decode_with = |lists: &[u8]| postcard::from_bytes(&[value, lists].concat());
--- a/src/jobs/site.rs
+++ b/src/jobs/site.rs
@@ -1,4 +1,5 @@
-//! What the operators and the platform say of a site: queues, pools, workers, VMs, maintenance.
+//! The site as configured by operators and reported by the platform: queues, pools, workers, VMs,
+//! maintenance waves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,65 +9,65 @@
 use crate::decide::access::{AccessTable, RevocationRule};
 use crate::jobs::model::ResourceVector;
 
-/// Placement policy of a queue that asks for permits.
+/// Placement policy of a queue whose starts need permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitPolicy {
-    /// Time that the policy service takes for a call, in milliseconds.
+    /// Fixed time that the policy service takes for a call, in milliseconds.
     pub call_ms: u64,
-    /// Time that it takes for each worker named, in milliseconds.
+    /// Additional time that it takes for each worker in the call, in milliseconds.
     pub worker_ms: u64,
     /// Time that a permit is valid, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// One queue.
+/// A queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueueSpec {
     /// Its name.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host name in callers' requests.
     pub host: String,
-    /// Start of the paths that belong to it.
+    /// Prefix of the request paths that belong to the queue.
     pub path_prefix: String,
     /// Pool whose workers run its tasks.
     pub service: Arc<str>,
-    /// Time for an answer, in milliseconds.
+    /// Time limit for answering a caller, in milliseconds; 0 for none.
     pub timeout_ms: u64,
-    /// Time allowed beyond the stretched run time, in milliseconds.
+    /// Time allowed in addition to the stretched run time, in milliseconds.
     pub objective_ms: u64,
-    /// Stretch allowed on the longest chain of tasks.
+    /// Factor allowed on the run time of the longest chain of tasks.
     pub stretch: f64,
-    /// Rank; 0 goes first and may displace others.
+    /// Priority; 0 is the highest and may displace others.
     pub priority: u32,
-    /// Failed runs after which a task is given up.
+    /// Number of failed runs after which a task is given up.
     pub attempts: u32,
-    /// Permits that starts need, if any.
+    /// Placement policy, if starts need permits.
     pub permits: Option<PermitPolicy>,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_open: bool,
 }
 
-/// One pool.
+/// A pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSpec {
     /// Its name.
     pub name: Arc<str>,
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers reject tasks that exceed their free capacity.
     pub has_admission_check: bool,
     /// Whether its VMs are off and may be lent to other pools.
     pub is_standby: bool,
 }
 
-/// Sizes and times for callers' requests.
+/// Limits for callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a head, in milliseconds.
+    /// Time limit for receiving the head, in milliseconds.
     pub head_ms: u64,
-    /// Time that a connection may idle, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -79,20 +80,21 @@
 /// The whole configuration of a site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfig {
-    /// Version; only rises.
+    /// Version; increases with each change.
     pub version: u64,
     /// Queues.
     pub queues: Vec<QueueSpec>,
     /// Pools.
     pub pools: Vec<PoolSpec>,
-    /// Bounds for callers' requests.
+    /// Limits for callers' requests.
     pub limits: CallerLimits,
-    /// Organisations and their keys; none where the site knows no organisations, and callers need no key.
+    /// Organisations and their API keys; `None` if the site has no organisations and callers need
+    /// no key.
     pub access: Option<AccessTable>,
 }
 
 impl SiteConfig {
-    /// The queue of a request: same host, longest prefix of the path.
+    /// The queue of a request: same host, longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&QueueSpec> {
         self.queues
             .iter()
@@ -112,8 +114,8 @@
     }
 }
 
-/// Id of one life of a worker: its name, and when it was born in milliseconds since the epoch, where workers may
-/// start again under their name and tell.
+/// Id of one incarnation of a worker: its name and its start time in milliseconds since the epoch,
+/// if workers restart under the same name and report that time; otherwise the name alone.
 pub fn incarnation_id(name: &str, started_ms: Option<u64>) -> Arc<str> {
     match started_ms {
         Some(born) => format!("{name}{INCARNATION_SEPARATOR}{born}").into(),
@@ -121,37 +123,37 @@
     }
 }
 
-/// Name of the worker whose life this is, as the platform knows it.
+/// Name of the worker in an incarnation id, as the platform knows it.
 pub fn worker_name(id: &str) -> &str {
     id.rsplit_once(INCARNATION_SEPARATOR).map_or(id, |(name, _)| name)
 }
 
-/// Between the name and the birth; no name has it.
+/// Separates name and start time; names don't contain it.
 const INCARNATION_SEPARATOR: char = '@';
 
-/// One life of a worker as it reports itself.
+/// One incarnation of a worker as it reports itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Id of this life; see [`incarnation_id`].
+    /// Id of the incarnation; see [`incarnation_id`].
     pub id: Arc<str>,
     /// Pool that it serves.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub centre: Arc<str>,
-    /// Whether it is about to leave and takes nothing new.
+    /// Whether it will shut down soon and takes no new tasks.
     pub is_draining: bool,
-    /// Time that is left to it at least, in milliseconds, while it drains.
+    /// Minimum time until it shuts down, in milliseconds, while it drains.
     pub drain_left_ms: u64,
-    /// What it holds.
+    /// Total capacity.
     pub capacity: ResourceVector,
-    /// Kind and rack.
+    /// Labels: the kind of VM first, the rack last.
     pub labels: Vec<Arc<str>>,
 }
 
 impl WorkerEntry {
-    /// Its rack: the last label, as the first names the kind.
+    /// Its rack, which is the last label.
     pub fn rack(&self) -> &str {
         self.labels.last().map_or("", |label| label)
     }
@@ -160,17 +162,17 @@
 /// State of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum VmState {
-    /// In its pool.
+    /// Running in its pool.
     Up,
-    /// On its way to another pool.
+    /// Moving to another pool.
     Moving,
-    /// Being maintained.
+    /// Under maintenance.
     InMaintenance,
-    /// Without power or gone.
+    /// Powered off or gone.
     Down,
 }
 
-/// One VM as the platform lists it.
+/// A VM as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmEntry {
     /// Its name.
@@ -183,84 +185,85 @@
     pub centre: Arc<str>,
     /// Its rack.
     pub rack: Arc<str>,
-    /// What it holds.
+    /// Total capacity.
     pub capacity: ResourceVector,
-    /// Id of the worker that runs on it; empty for none.
+    /// Id of the worker that runs on it; empty if there is none.
     pub worker: Arc<str>,
 }
 
-/// A wave: each of these VMs is to be maintained once.
+/// A maintenance wave: each of its VMs is to be maintained once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceWave {
     /// Its number.
     pub number: u64,
-    /// VMs that are due.
+    /// VMs to be maintained.
     pub vms: Vec<Arc<str>>,
-    /// Time that it may take, in milliseconds.
+    /// Time limit for the whole wave, in milliseconds.
     pub within_ms: u64,
-    /// VMs that may be down for it at once.
+    /// Largest number of VMs that the wave may take down at the same time.
     pub parallel_max: usize,
 }
 
-/// Something that the operators wrote.
+/// A record written by the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRecord {
     /// The whole configuration.
     Config(SiteConfig),
-    /// A configuration that can't be read: what it changes is not known.
+    /// A configuration that can't be decoded: its changes are unknown.
     UnreadableConfig,
     /// A maintenance wave.
     Wave(MaintenanceWave),
 }
 
-/// Times and behaviours that the platform promises or demands.
+/// Time limits and guarantees of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteBounds {
-    /// Longest lease that a worker gives, in milliseconds.
+    /// Longest lease that a worker accepts, in milliseconds.
     pub lease_max_ms: u64,
-    /// Longest time for a task to stop, in milliseconds.
+    /// Longest time that a task takes to stop, in milliseconds.
     pub stop_ms: u64,
-    /// Time from the acknowledgement of a cancellation after which nothing of the job may start, in milliseconds.
+    /// Time after a cancellation is acknowledged from which no task of the job may start, in
+    /// milliseconds.
     pub cancel_ms: u64,
-    /// Time for which a job's last state can be asked for, in milliseconds.
+    /// Time for which the final state of a job can be queried, in milliseconds.
     pub status_ms: u64,
-    /// Time between a stop signal and the kill, in milliseconds.
+    /// Time between the stop signal and the kill, in milliseconds.
     pub grace_ms: u64,
-    /// How many times as long a task takes away from its data or split over racks.
+    /// Factor on the run time of a task that runs away from its data or is split over racks.
     pub remote_factor: f64,
-    /// Time that a VM takes to be maintained, in milliseconds.
+    /// Time that the maintenance of a VM takes, in milliseconds.
     pub maintenance_ms: u64,
-    /// Whether the VM service refuses fencing tokens lower than one that it has seen.
+    /// Whether the VM service rejects fencing tokens lower than the highest one that it has seen.
     pub are_vms_fenced: bool,
-    /// How soon a revoked key must be refused.
+    /// How soon a revoked API key must be rejected.
     pub revocation: RevocationRule,
 }
 
-/// Where a process runs and what it talks to.
+/// Settings of a process: its VM and the services that it uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// Name of this entry VM.
+    /// Name of the VM that the entry runs on.
     pub node: Arc<str>,
     /// Its data centre.
     pub centre: Arc<str>,
-    /// Address for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Address for the balancer's readiness probe.
+    /// Listen address for the load balancer's readiness probe.
     pub ready: SocketAddr,
-    /// Address for other entries; metrics are served there too.
+    /// Listen address for other entries; also serves metrics.
     pub peer: SocketAddr,
-    /// Processor of the VM, in thousandths of a core.
+    /// Processor capacity of the VM, in thousandths of a core.
     pub processor: u64,
-    /// Link of the VM, in Mbit/s.
+    /// Bandwidth of the VM's link, in Mbit/s.
     pub link: u64,
-    /// The log service.
+    /// Address of the log service.
     pub log: SocketAddr,
-    /// The VM service.
+    /// Address of the VM service, if there is one.
     pub vms: Option<SocketAddr>,
-    /// The placement policy service.
+    /// Address of the placement policy service, if there is one.
     pub permits: Option<SocketAddr>,
-    /// Largest submission that fits into one record of the log, in bytes.
+    /// Largest submission that fits into one log record, in bytes.
     pub record_bytes_max: usize,
-    /// Promised times.
+    /// Time limits and guarantees of the platform.
     pub bounds: SiteBounds,
 }
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -1,4 +1,4 @@
-//! What operators can ask an entry of the job side: how it is, and one job by its id.
+//! Status of an entry and of single jobs, for operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,39 +10,39 @@
 use crate::jobs::node::JobNode;
 use crate::scheduler::overview::LeaderOverview;
 
-/// One queue, as this entry's copy of the log tells.
+/// A queue, according to this entry's replica of the job log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueStatus {
     /// Its name.
     pub name: Arc<str>,
     /// Pool that runs its tasks.
     pub pool: Arc<str>,
-    /// Jobs of which no task has started.
+    /// Number of jobs of which no task has started.
     pub waiting: u64,
 }
 
-/// One entry.
+/// Status of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// Its name.
     pub entry: Arc<str>,
     /// Its data centre.
     pub centre: Arc<str>,
-    /// Whether callers may be sent to it.
+    /// Whether load balancers may send callers to it.
     pub is_ready: bool,
-    /// Version of the configuration in force; nothing before one was read.
+    /// Version of the configuration in force; `None` before one was read.
     pub config: Option<u64>,
-    /// Time since the start of the newest reading that showed the configuration to be the newest, in milliseconds:
-    /// by its age keys are honoured or not.
+    /// Time since the start of the latest read that confirmed the configuration to be the newest,
+    /// in milliseconds. Decides whether API keys may be honoured.
     #[serde(default)]
     pub config_age_ms: Option<u64>,
-    /// Time since the log last answered, in milliseconds; nothing if it never did.
+    /// Time since the log last answered, in milliseconds; `None` if it never did.
     pub log_age_ms: Option<u64>,
-    /// Where it takes the leader to be, if that is another entry.
+    /// Address of the leader as known to this entry, if another entry leads.
     pub leader: Option<SocketAddr>,
-    /// Queues.
+    /// All queues.
     pub queues: Vec<QueueStatus>,
-    /// What it believes as the leader, if it leads.
+    /// State of the scheduler, if this entry leads.
     pub leading: Option<LeaderOverview>,
 }
 
@@ -51,13 +51,13 @@
 pub struct RunStatus {
     /// Name of the task.
     pub task: String,
-    /// Number of the run.
+    /// Run number.
     pub run: u32,
-    /// Worker.
+    /// Id of the worker.
     pub worker: Arc<str>,
 }
 
-/// One job, as this entry's copy of the log tells.
+/// A job, according to this entry's replica of the job log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// Its id.
@@ -72,17 +72,17 @@
     pub ended_ms: u64,
     /// Term of the leader that wrote its progress; 0 before any.
     pub term: u64,
-    /// Tasks of all steps of one occurrence.
+    /// Number of tasks of one occurrence.
     pub tasks: usize,
-    /// Steps that are done, over all occurrences under way.
+    /// Number of complete steps, over all occurrences that are in progress.
     pub steps_done: usize,
-    /// Runs that ended in failure, of steps under way.
+    /// Number of runs that ended in failure, in steps that are in progress.
     pub failures: u32,
     /// Runs that may be alive.
     pub runs: Vec<RunStatus>,
 }
 
-/// How an entry is.
+/// Status of this entry.
 pub fn entry_status(node: &JobNode) -> EntryStatus {
     let config = node.config();
     let now = node.now();
@@ -105,7 +105,7 @@
     }
 }
 
-/// One job; nothing if this entry does not know it.
+/// Status of a job; `None` if this entry does not know it.
 pub fn job_status(node: &JobNode, id: JobId) -> Option<JobStatus> {
     let book = node.book();
     let job = book.get(id)?;
--- a/src/jobs/submitter.rs
+++ b/src/jobs/submitter.rs
@@ -1,12 +1,12 @@
-//! Puts submissions and cancellations on the log, many in one append, one append at a time.
+//! Appends submissions and cancellations to the log, in batches and one append at a time.
 //!
 //! An append without an answer may have been done, or may be done seconds later. It is repeated
-//! under the same number, which the log does once. Only an outcome that the log states is passed on
-//! as such; a caller whose time is up first is told that the outcome is not known.
+//! with the same sequence number, and the log performs it once. Only an outcome that the log has
+//! reported is passed on; a caller whose time runs out first is told that the outcome is unknown.
 //!
-//! While a leader can be reached it makes the append: one for all entries, together with what it
-//! decides. A slow log takes its appends one after the other, so an append of each entry's own would
-//! make every caller wait for all of them.
+//! While a leader can be reached, it makes the append: one for all entries, together with its own
+//! decisions. A slow log performs appends one after the other, so with an append from each entry
+//! every caller would wait for all of them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,37 +21,40 @@
 use crate::jobs::relay::{RelayClient, RelayOutcome};
 use crate::jobs::timeout_estimator::TimeoutEstimator;
 
-/// Records in one append at most.
+/// Largest number of records in one append.
 const BATCH_MAX: usize = 128;
-/// Bytes from which an append takes no more records; with the last one it stays under the 2 MB that the
-/// platform takes, also together with what the leader adds.
+/// Size in bytes from which an append takes no more records. Together with the last record and what
+/// the leader adds, it stays below the 2 MB that the platform accepts.
 const BATCH_BYTES_MAX: usize = 256 << 10;
-/// Submissions that may wait; beyond, callers are refused at once.
+/// Largest number of waiting submissions; beyond, callers are rejected at once.
 const QUEUE_MAX: usize = 2_048;
-/// Longest time for an append to be answered before it is repeated: a slow log takes 300 ms.
+/// Longest timeout of an append, after which it is repeated: a slow log takes 300 ms.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause before an append is repeated.
+/// Delay before an append is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Age of an append without an answer from which callers that wait behind it are refused: their
-/// records have not been sent, so the refusal is true, and they may try another entry.
+/// Age of an unanswered append from which the callers that wait behind it are rejected. Their
+/// records have not been sent, so the rejection is accurate, and they may try another entry.
 const STALLED_APPEND_AGE: Duration = Duration::from_millis(500);
 
-/// Time that appends of each entry's own may stand in line, in milliseconds. Where they would longer, a leader is waited
-/// for: the append by which a successor shuts the others out would stand behind them, and nothing is placed before.
+/// Longest time that appends may queue in the log if each entry makes its own, in milliseconds. If
+/// they would queue for longer, the entry waits for a leader instead: the append with which a
+/// successor fences the other entries would queue behind them, and nothing could be placed until
+/// then.
 const OWN_QUEUE_DELAY_MAX_MS: u64 = 500;
-/// Time for which a leader is waited for: a silence, a claim, and a takeover's first steps.
+/// How long to wait for a leader: the time for an old leader to time out, a claim, and the first
+/// steps of a takeover.
 const LEADER_WAIT: Duration = Duration::from_millis(1_200);
-/// Leaders that a batch is handed to before it is given up.
+/// Number of leaders that a batch is sent to before it is given up.
 const LEADERS_TRIED: usize = 3;
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is on the log.
+    /// It is in the log.
     Stored,
-    /// It is not, and never will be.
+    /// It is not in the log, and never will be.
     Refused,
-    /// Not known.
+    /// It may or may not be in the log.
     Unknown,
 }
 
@@ -61,14 +64,14 @@
     answer: oneshot::Sender<SubmitOutcome>,
 }
 
-/// Hands records to the submitter's task.
+/// Sends records to the submitter's task.
 #[derive(Clone)]
 pub struct SubmitHandle {
     requests: mpsc::Sender<SubmitRequest>,
 }
 
 impl SubmitHandle {
-    /// Puts a record on the log; `Unknown` if that has no outcome by `deadline`.
+    /// Stores a record in the log; `Unknown` if there is no outcome by `deadline`.
     pub async fn submit(&self, record: JobRecord, deadline: Instant) -> SubmitOutcome {
         let Some(keyed) = record.encode() else { return SubmitOutcome::Refused };
         let (answer, outcome) = oneshot::channel();
@@ -83,7 +86,7 @@
     }
 }
 
-/// Appends in order.
+/// Appends batches in order.
 struct Submitter<L> {
     node: Arc<JobNode>,
     log: L,
@@ -103,7 +106,7 @@
     incarnation: u64,
 ) -> SubmitHandle {
     let (sender, requests) = mpsc::channel(QUEUE_MAX);
-    // A restarted process has forgotten its numbers: it is another writer.
+    // A restarted process has lost its sequence numbers, so it needs another writer name.
     let writer = format!("{}-{incarnation:x}", node.settings.node).into();
     let append_timeout = TimeoutEstimator::new(APPEND_TIMEOUT);
     let submitter =
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Has the leader store a batch, or appends it where there is none.
+    /// Lets the leader store a batch, or appends it if there is no leader.
     async fn store(&mut self, batch: Vec<SubmitRequest>) {
         let records: Vec<JobRecord> = batch.iter().map(|request| request.record.clone()).collect();
         let mut is_in_doubt = false;
@@ -135,8 +138,8 @@
             match self.relay.store(&self.node, records.clone()).await {
                 RelayOutcome::Stored => return self.complete(batch, None),
                 RelayOutcome::NotSent => {}
-                // The leader may have made the append, or may make it yet: a refusal of the log would not be the whole
-                // truth.
+                // The leader may have made the append, or may still make it: after that, a
+                // rejection by the log does not mean that the batch was not stored.
                 RelayOutcome::Unknown => is_in_doubt = true,
             }
             if self.node.own_line_ms() <= OWN_QUEUE_DELAY_MAX_MS || !self.node.is_leader_silent() {
@@ -146,7 +149,8 @@
                 break;
             }
         }
-        info!(self.node.logger, "there is no leader to store a batch, and the log has no time for one of each entry";
+        info!(self.node.logger,
+            "batch not stored: no leader, and the log is too slow for appends of all entries";
             "records" => batch.len(), "line_ms" => self.node.own_line_ms());
         let outcome = if is_in_doubt { SubmitOutcome::Unknown } else { SubmitOutcome::Refused };
         answer_all(batch, outcome);
@@ -178,18 +182,19 @@
                     return;
                 }
                 AppendOutcome::Refused if !is_in_doubt => {
-                    info!(self.node.logger, "the log refused an append"; "records" => batch.len());
+                    info!(self.node.logger, "the log rejected an append"; "records" => batch.len());
                     answer_all(batch, SubmitOutcome::Refused);
                     return;
                 }
                 AppendOutcome::Refused => {}
                 AppendOutcome::Unknown => is_in_doubt = true,
-                // Without a number of ours that is known to be next, nothing can be repeated
-                // safely: a new epoch shuts out whatever is still under way.
+                // Unless the next sequence number is known, nothing can be repeated safely: a new
+                // epoch fences whatever is still in flight.
                 AppendOutcome::Fenced
                 | AppendOutcome::OutOfSequence
                 | AppendOutcome::EndMoved { .. } => {
-                    warn!(self.node.logger, "the log takes our numbers for wrong";
+                    warn!(self.node.logger,
+                        "the log did not accept the epoch or sequence number of an append";
                         "epoch" => self.epoch, "sequence" => self.sequence);
                     self.next_epoch();
                     answer_all(batch, SubmitOutcome::Unknown);
@@ -197,7 +202,7 @@
                 }
             }
             if batch.iter().all(|request| request.answer.is_closed()) {
-                // Nobody waits any more. It may be done yet, and then it is a job.
+                // No caller is waiting any more. The append may still be done, and then it counts.
                 self.next_epoch();
                 return;
             }
@@ -219,8 +224,8 @@
         }
     }
 
-    /// The entry knows its own submissions before it reads them back. What another entry has appended counts
-    /// as appended at the start: all that is read is newer.
+    /// Adds the entry's own submissions to its table before they are read back. Records that
+    /// another entry appended get offset 0, so that everything that is read counts as newer.
     fn complete(&self, batch: Vec<SubmitRequest>, offset: Option<u64>) {
         self.node.stored();
         let records: Vec<(u64, JobRecord)> = (0..)
@@ -236,7 +241,7 @@
 
 fn answer_all(batch: Vec<SubmitRequest>, outcome: SubmitOutcome) {
     for request in batch {
-        // A caller that went away needs no answer.
+        // A caller that is gone needs no answer.
         let _ = request.answer.send(outcome);
     }
 }
--- a/src/jobs/timeout_estimator.rs
+++ b/src/jobs/timeout_estimator.rs
@@ -1,22 +1,23 @@
-//! How long to wait for an answer of the log before the call is repeated.
+//! Estimates how long to wait for an answer of the log before a call is repeated.
 //!
-//! The load that this answers: the log answers within milliseconds, and a part of its answers is lost.
-//! Waited for as long as a slow log may take, each lost answer would hold up every start behind it for
-//! that time. So the wait follows the answers, as a retransmission timeout does (RFC 6298): smoothed
-//! time and four times its deviation, doubled after each call without an answer, so that a log that
-//! turns slow is not called again and again. Repeats are idempotent.
+//! The log usually answers within milliseconds, but some of its answers are lost. If the timeout
+//! were as long as a slow log may take, each lost answer would delay every start behind it by that
+//! time. So the timeout follows the answers as TCP's retransmission timeout does (RFC 6298):
+//! smoothed response time plus four times its deviation, doubled after each call without an answer,
+//! so that a log that becomes slow is not flooded with repeats. Repeats are idempotent.
 
 use std::time::Duration;
 
 use crate::jobs::ports::AppendOutcome;
 
-/// Shortest wait: a process on a part of a core is late by tens of milliseconds itself.
+/// Shortest timeout: a process with a fraction of a core is itself tens of milliseconds late.
 const TIMEOUT_MIN: Duration = Duration::from_millis(150);
-/// Parts of the smoothed time and of its deviation that one answer counts, as in RFC 6298.
+/// An answer changes the smoothed response time by 1/8 of its difference, and the smoothed
+/// deviation by 1/4, as in RFC 6298.
 const TIME_DIVISOR: u32 = 8;
 const DEVIATION_DIVISOR: u32 = 4;
 
-/// Learns from answers how long to wait for the next one.
+/// Estimates the timeout of the next call from earlier answers.
 #[derive(Clone, Debug)]
 pub struct TimeoutEstimator {
     longest: Duration,
@@ -25,28 +26,28 @@
 }
 
 impl TimeoutEstimator {
-    /// One that waits `longest` until it has seen an answer, and never longer.
+    /// The timeout is `longest` before the first answer, and never more than that.
     pub fn new(longest: Duration) -> TimeoutEstimator {
         TimeoutEstimator { longest, smoothed: None, doublings: 0 }
     }
 
-    /// Time that answers take, once there was one.
+    /// Smoothed response time; `None` before the first answer.
     pub fn response_time(&self) -> Option<Duration> {
         self.smoothed.map(|(time, _)| time)
     }
 
-    /// Time to wait for the next answer.
+    /// Timeout for the next call.
     pub fn timeout(&self) -> Duration {
         let Some((time, deviation)) = self.smoothed else { return self.longest };
         let timeout = (time + deviation * 4).max(TIMEOUT_MIN);
         timeout.saturating_mul(1 << self.doublings.min(8)).min(self.longest)
     }
 
-    /// Takes in what became of an append after this time.
+    /// Updates the estimate with the outcome of an append that took `elapsed`.
     pub fn record_outcome(&mut self, outcome: AppendOutcome, elapsed: Duration) {
         match outcome {
             AppendOutcome::Unknown => self.record_timeout(),
-            // It may not have reached the log at all.
+            // The append may not have reached the log at all.
             AppendOutcome::Refused => {}
             AppendOutcome::Done { .. }
             | AppendOutcome::EndMoved { .. }
@@ -55,7 +56,7 @@
         }
     }
 
-    /// An answer came after this time.
+    /// Updates the estimate with an answer that took `elapsed`.
     pub fn record_answer(&mut self, elapsed: Duration) {
         self.doublings = 0;
         self.smoothed = Some(match self.smoothed {
@@ -69,7 +70,7 @@
         });
     }
 
-    /// No answer came in time.
+    /// Doubles the timeout after a call without an answer.
     pub fn record_timeout(&mut self) {
         self.doublings = self.doublings.saturating_add(1);
     }
--- a/src/jobs/wave_reporter.rs
+++ b/src/jobs/wave_reporter.rs
@@ -1,8 +1,8 @@
-//! Tells operators how maintenance waves get on, in the order in which it was decided.
+//! Reports the status of maintenance waves to operators, in the order of the leader's decisions.
 //!
-//! One status is appended at a time, under numbers of the leader's own, until the log has it. Two at
-//! once could reach the log in either order, and one whose answer was lost could be stored after a
-//! later one: a wave that is complete would be shown as running for good.
+//! Statuses are appended one at a time, under the leader's own sequence numbers, each until the log
+//! has it. Two concurrent appends could be stored in either order, and one whose answer was lost
+//! could be stored after a later one: a complete wave would be shown as running for ever.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::jobs::conductor::WaveEncoder;
 use crate::jobs::ports::{AppendCall, AppendOutcome, JobLog, LogTopic, WriterStamp};
 
-/// Time for an append to be answered before it is repeated; a slow log takes 300 ms.
+/// Timeout of an append, after which it is repeated; a slow log takes 300 ms.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause before an append is repeated.
+/// Delay before an append is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Name of the writer on the log; its epoch is the leader's term.
+/// Writer name in the log; the epoch is the leader's term.
 const WRITER: &str = "waves";
 
-/// Appends statuses, one after the other.
+/// Appends wave statuses one after the other.
 pub struct WaveReporter<L> {
     log: L,
     encoder: WaveEncoder,
@@ -31,8 +31,8 @@
 }
 
 impl<L: JobLog> WaveReporter<L> {
-    /// A teller for a leader of this term, and where it is given a wave's number and whether it is
-    /// complete.
+    /// A reporter for the leader of this term, and a sender for its input: the number of a wave,
+    /// and whether the wave is complete.
     pub fn open(
         log: L,
         encoder: WaveEncoder,
@@ -43,7 +43,7 @@
         (WaveReporter { log, encoder, logger, term, sequence: 0, statuses }, sender)
     }
 
-    /// Appends what it is given until nobody can give it any more, or a later leader tells instead.
+    /// Appends statuses until all senders are dropped or a later leader has taken over.
     pub async fn run(mut self) {
         while let Some((number, is_completed)) = self.statuses.recv().await {
             info!(self.logger, "wave status"; "wave" => number, "completed" => is_completed);
@@ -54,10 +54,11 @@
         }
     }
 
-    /// Appends until the log has it; false if a later leader has shut us out.
+    /// Repeats the append until the log has the status; false if a later leader has fenced this
+    /// one.
     async fn append(&self, number: u64, is_completed: bool) -> bool {
         let Some(record) = (self.encoder)(number, is_completed) else {
-            warn!(self.logger, "a wave's status can't be written"; "wave" => number);
+            warn!(self.logger, "wave status could not be encoded"; "wave" => number);
             return true;
         };
         let stamp =
@@ -72,7 +73,7 @@
             match self.log.append(&call, APPEND_TIMEOUT).await {
                 AppendOutcome::Done { .. } => return true,
                 AppendOutcome::Fenced | AppendOutcome::OutOfSequence => return false,
-                outcome => warn!(self.logger, "a wave's status is not on the log yet";
+                outcome => warn!(self.logger, "wave status not stored yet";
                     "wave" => number, "outcome" => ?outcome),
             }
             sleep(RETRY_DELAY).await;
--- a/tests/access.rs
+++ b/tests/access.rs
@@ -1,4 +1,5 @@
-//! Callers with keys: who is let in, what they may see, and until when a key counts.
+//! API keys: who is admitted, which jobs a caller may see, and for how long a key is honoured
+//! without confirmation.
 
 mod support;
 
@@ -30,7 +31,8 @@
 use support::sim::{POOL, QUEUE, config, job, job_id, queue, step};
 use tokio::time::{advance, sleep};
 
-/// Time for which a reading counts, by the settings of the stage, and a bit.
+/// Slightly more than the time for which a read confirms the configuration, according to the
+/// settings of the simulation.
 const CONFIRMATION_LIMIT: Duration = Duration::from_millis(5_000);
 const TIME_LEFT: Duration = Duration::from_secs(3);
 
@@ -43,7 +45,7 @@
     }
 }
 
-/// A configuration of this version with two organisations and these keys.
+/// A configuration of this version with two organisations and these API keys.
 fn keyed_config(version: u64, east: &[&str], west: &[&str]) -> SiteConfig {
     let organisations = vec![organisation("east", east), organisation("west", west)];
     SiteConfig { version, access: Some(AccessTable::from(organisations)), ..config() }
@@ -53,17 +55,17 @@
     PresentedKey::Given(KeyDigest::of(text))
 }
 
-/// What a log answers to one read of what operators wrote, and how long it takes.
+/// Answer of the log to one read of the operators' records.
 #[derive(Clone, Debug)]
 enum ScriptedAnswer {
-    /// These versions, up to the end of the stream or not.
+    /// These versions; and whether the answer reaches the end of the stream.
     Versions(Vec<u64>, bool),
-    /// A configuration that can't be read.
+    /// A configuration that can't be decoded.
     Undecodable,
     Nothing,
 }
 
-/// A log that answers reads as it is told, and takes every append.
+/// A log that answers reads as scripted, each after a delay, and accepts every append.
 #[derive(Clone, Default)]
 struct ScriptedLog {
     answers: Arc<Mutex<VecDeque<(Duration, ScriptedAnswer)>>>,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Records whose one byte is the version; 0 is one that can't be read.
+/// A record whose one byte is the version; version 0 can't be decoded.
 fn record(version: u64) -> KeyedRecord {
     KeyedRecord { key: "config".to_owned(), value: vec![u8::try_from(version).expect("small")] }
 }
@@ -84,7 +86,7 @@
 fn decode(record: &KeyedRecord) -> Option<OperatorRecord> {
     match record.value.first() {
         None | Some(0) => Some(OperatorRecord::UnreadableConfig),
-        // The key "taken" is taken away by version 2.
+        // Version 2 revokes the key "taken".
         Some(1) => Some(OperatorRecord::Config(keyed_config(1, &["taken", "key"], &["spare"]))),
         Some(version) => {
             Some(OperatorRecord::Config(keyed_config(u64::from(*version), &["key"], &["spare"])))
@@ -149,7 +151,7 @@
         &self.service.node
     }
 
-    /// One that has read the first configuration and shown it to be the newest.
+    /// An entry that has read the first configuration and confirmed that it is the newest.
     async fn confirmed() -> Entry {
         let mut entry = Entry::open();
         entry.follower.step().await;
@@ -199,7 +201,8 @@
     assert_eq!(site.admit(PresentedKey::Missing), Ok(CallerAccess::default()));
 }
 
-/// A key is taken away and the entry reads it: from then on its callers get 401, at once.
+/// Guards against a key that is still accepted after the entry has read its revocation; callers get
+/// 401 from then on.
 #[tokio::test(start_paused = true)]
 async fn a_revoked_key_is_refused_once_the_revocation_was_read() {
     let mut entry = Entry::confirmed().await;
@@ -207,14 +210,15 @@
     entry.read(10, ScriptedAnswer::Versions(vec![2], true)).await;
     assert_eq!(entry.code(key("taken")), Some(ResultCode::UnknownApiKey));
     assert_eq!(entry.code(key("key")), None);
-    // An older page of the history changes nothing back.
+    // An older record that is read again restores nothing.
     entry.read(10, ScriptedAnswer::Versions(vec![1], true)).await;
     assert_eq!(entry.code(key("taken")), Some(ResultCode::UnknownApiKey));
 }
 
-/// An entry can't read what operators wrote any more. Its callers are served on for as long as no key that
-/// it knows can have been taken away too long ago; then every key gets 503 with a time to come back, as nobody
-/// there can tell whether it still counts, and unknown ones are not called unknown.
+/// Guards against a revoked key that is honoured for too long by an entry that can't read the
+/// operators' records any more. It serves its callers until a key that it knows could have been
+/// revoked for longer than the limit. After that, every key gets 503 with a time to retry, and
+/// unknown keys are not reported as unknown, since the entry can't tell whether any key is valid.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_can_not_read_the_log_honours_no_key_for_longer_than_the_limit() {
     let mut entry = Entry::confirmed().await;
@@ -232,8 +236,8 @@
     assert_eq!(entry.code(key("taken")), None);
 }
 
-/// The answer to a reading is on its way for 4.5 s, in which the key is taken away. A second after it came the
-/// key must not count any more: the reading is 5.5 s old, however new its answer is.
+/// Guards against counting the age of a read from its answer. The answer takes 4.5 s, and the key
+/// may be revoked meanwhile; 1 s later the read is 5.5 s old, however new its answer is.
 #[tokio::test(start_paused = true)]
 async fn a_read_counts_from_its_start() {
     let mut entry = Entry::open();
@@ -244,8 +248,9 @@
     assert_eq!(entry.code(key("taken")), Some(ResultCode::KeyUnconfirmed));
 }
 
-/// A process has just started. The pages that it has read of the newest records are no reading of the end: its
-/// first page can be older than a revocation. It honours keys only after it has read on from there.
+/// Guards against a restarted entry that honours a revoked key. The first page of a snapshot can be
+/// older than the revocation, so keys are honoured only after a read that continues from the
+/// snapshot.
 #[tokio::test(start_paused = true)]
 async fn a_restarted_entry_honours_no_key_before_it_has_read_past_the_snapshot() {
     let mut entry = Entry::open();
@@ -256,7 +261,7 @@
     assert_eq!(entry.code(key("key")), None);
 }
 
-/// The history is long: an answer ends before the end of what operators wrote. It shows nothing.
+/// Guards against a confirmation by a read that does not reach the end of a long stream.
 #[tokio::test(start_paused = true)]
 async fn a_read_that_stops_short_of_the_end_confirms_nothing() {
     let mut entry = Entry::confirmed().await;
@@ -265,8 +270,9 @@
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
 }
 
-/// The newest configuration can't be read. What it takes away is not known, so that the keys of the one before
-/// count no longer than if nothing had been read, and count again with the next good one.
+/// Guards against honouring revoked keys when the newest configuration can't be decoded. Its
+/// revocations are unknown, so the keys of the previous version count no longer than without any
+/// read, and again once a valid version follows.
 #[tokio::test(start_paused = true)]
 async fn a_configuration_that_can_not_be_read_confirms_no_key() {
     let mut entry = Entry::confirmed().await;
@@ -280,8 +286,9 @@
     assert_eq!(entry.code(key("key")), None);
 }
 
-/// Readings of an entry that honours no key don't wait for news, and still there is a pause between them: a log
-/// that has just come back is not asked a thousand times a second by each of its readers.
+/// Guards against a thousand reads a second from each reader of a log that has just come back:
+/// reads without a valid confirmation don't wait for new records, but there must be a pause between
+/// them.
 #[tokio::test(start_paused = true)]
 async fn an_entry_without_a_confirmation_pauses_between_reads() {
     let mut entry = Entry::confirmed().await;
@@ -302,9 +309,9 @@
     assert!(rule.may_honour(None, 1_000_000));
 }
 
-/// The log turns an entry away. Another one that reads it tells that its reading began 300 ms ago; the question
-/// was on its way for 200 ms, which count as well. The entry serves on by that reading, and no longer than by one
-/// of its own.
+/// Guards against a confirmation through another entry that counts for too long. The other entry's
+/// read began 300 ms before it answered, and the query was on its way for 200 ms. The read counts
+/// from its start, as one of this entry's own would.
 #[tokio::test(start_paused = true)]
 async fn a_read_of_another_entry_counts_from_its_start() {
     let entry = Entry::confirmed().await;
@@ -320,8 +327,8 @@
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
 }
 
-/// The one that is asked has read a newer configuration: it comes with the answer, and what it takes away is
-/// refused from that moment on.
+/// Guards against a revoked key that is accepted although the other entry had a newer
+/// configuration: it comes with the answer and applies at once.
 #[tokio::test(start_paused = true)]
 async fn a_newer_configuration_comes_with_the_answer() {
     let (entry, mut other) = (Entry::confirmed().await, Entry::confirmed().await);
@@ -337,14 +344,14 @@
     assert!(confirm::answer(other.node(), b"\xff\xff\xff").is_none());
 }
 
-/// An organisation's caller asks for, cancels and submits over another one's job. It learns nothing of it and
-/// changes nothing; the owner's other callers may do all of it, and keys that come and go change no owner.
+/// Guards against access to the jobs of another organisation. Its callers can't see, cancel or
+/// resubmit them; the owner's callers can, also after keys have changed.
 #[tokio::test(start_paused = true)]
 async fn callers_cannot_access_jobs_of_another_organisation() {
     let entry = Entry::confirmed().await;
     let (service, queue) = (&entry.service, keyed_queue());
-    let east = entry.admit(key("taken")).expect("let in");
-    let west = entry.admit(key("spare")).expect("let in");
+    let east = entry.admit(key("taken")).expect("admitted");
+    let west = entry.admit(key("spare")).expect("admitted");
     let spec = || job(vec![step(1)]);
     entry.node().touch();
     let (id, unknown) = (job_id(1), CallerReply::Refused(ResultCode::UnknownJob, None));
@@ -355,10 +362,10 @@
     let id_taken = CallerReply::Refused(ResultCode::JobIdTaken, None);
     assert_eq!(service.submit(&queue, &west, id, spec(), TIME_LEFT).await, id_taken);
     entry.node().set_config(keyed_config(2, &["key"], &["spare"]));
-    let east = entry.admit(key("key")).expect("let in");
+    let east = entry.admit(key("key")).expect("admitted");
     assert_eq!(service.job_state(&east, id).await, CallerReply::State(JobState::Queued));
     assert_eq!(service.cancel(&queue, &east, id, TIME_LEFT).await, CallerReply::Stored);
-    // A job of a queue that is open to all belongs to nobody.
+    // A job of a queue without API keys belongs to no organisation.
     let open = CallerAccess::default();
     assert_eq!(
         service.submit(&queue, &open, job_id(2), spec(), TIME_LEFT).await,
--- a/tests/caller_service.rs
+++ b/tests/caller_service.rs
@@ -1,4 +1,4 @@
-//! What callers are told of their submissions, by the time that they have.
+//! Replies to callers that have little time, or whose entry is behind the log.
 
 mod support;
 
@@ -28,7 +28,7 @@
 /// Time of an append.
 const APPEND_TIME: Duration = Duration::from_millis(20);
 
-/// A log that takes every append.
+/// A log that accepts every append.
 #[derive(Clone)]
 struct WorkingLog;
 
@@ -58,9 +58,8 @@
     CallerService { node, reader, submitter, relay, queries }
 }
 
-/// A caller tries again with a tenth of a second left, and the log takes a fiftieth. It is told that
-/// its job is stored. Before, all of its time was kept for the way back: it was told at once that the
-/// outcome is not known, and the job was stored a moment later.
+/// Guards against an unknown outcome for a job that is stored: a caller retries with 100 ms left,
+/// and an append takes 20 ms. Its time must not all be reserved for the way back.
 #[tokio::test(start_paused = true)]
 async fn a_caller_with_little_time_left_gets_the_outcome_in_time() {
     let queue = queue(QUEUE, POOL);
@@ -70,13 +69,14 @@
     assert_eq!(reply, CallerReply::Stored);
 }
 
-/// An entry has restarted and is reading what the log holds; the log itself is well. A caller counts a queue there:
-/// it is told that this entry is behind and when to come back, not the tenth that was read so far. Once the
-/// entry has come to the log's end it counts.
+/// Guards against counts from a replica that is incomplete: an entry has restarted and is still
+/// reading, while the log itself is available. Its callers are told to retry, and not a count of
+/// the tenth that it has read so far.
 #[tokio::test(start_paused = true)]
 async fn an_entry_behind_the_log_refuses_to_count() {
     let (service, queue) = (service(), queue(QUEUE, POOL));
-    // A busy machine can make the log's last answer old between two lines; then the log counts as away.
+    // On a busy machine the log's last answer can become too old between two lines; the log then
+    // counts as unavailable.
     let is_behind = |reply| matches!(reply, CallerReply::Refused(ResultCode::BehindLog, Some(_)));
     let is_refused = (0..100).any(|_| {
         service.node.touch();
@@ -107,7 +107,8 @@
     address
 }
 
-/// Guards against an accepted job that is said not to exist, as the leader has yet to read it from the log.
+/// Guards against a wrong "no such job" for an accepted job that the leader has not read from the
+/// log yet.
 #[tokio::test]
 async fn a_job_that_the_leader_does_not_know_may_exist() {
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), silent()));
--- a/tests/catch_up.rs
+++ b/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Callers ask for jobs that their entry has not read yet.
+//! Callers ask for jobs that their entry has not read from the log yet.
 
 mod support;
 
@@ -20,7 +20,7 @@
 /// Time that a read takes over the slow link.
 const READ_TIME: Duration = Duration::from_millis(200);
 
-/// A log behind a slow link, with one record from the start and one that comes with each read.
+/// A log behind a slow link. It has one record at the start, and one more with each read.
 #[derive(Clone, Default)]
 struct SlowLog {
     reads: Arc<AtomicUsize>,
@@ -58,9 +58,9 @@
     Arc::new(JobNode::new(site_settings(), Arc::default(), logger))
 }
 
-/// Fifty callers of a weak entry ask at once for jobs that it does not know. All get their answer
-/// from one read or two of the log. With a read each, the link would carry the same records fifty
-/// times, every caller be told that the log is away, and the entry fall further behind.
+/// Guards against a read for each caller: fifty callers ask a weak entry at once for jobs that it
+/// does not know. With a read each, the link would carry the same records fifty times, every caller
+/// would be told that the log is unavailable, and the entry would fall further behind.
 #[tokio::test(start_paused = true)]
 async fn callers_that_ask_at_the_same_time_share_reads_of_the_log() {
     let log = SlowLog::default();
@@ -77,8 +77,8 @@
     assert!(log.reads.load(Ordering::Relaxed) <= 2);
 }
 
-/// A caller asks while a read is under way that began before it. The job may have been accepted since
-/// that read began, so it is told that there is no such job only after another read.
+/// Guards against a wrong "no such job": a caller asks while a read is in progress. The job may
+/// have been accepted after that read began, so another read must follow.
 #[tokio::test(start_paused = true)]
 async fn a_read_that_began_before_the_request_does_not_answer_it() {
     let log = SlowLog::default();
@@ -93,7 +93,8 @@
     assert_eq!(log.reads.load(Ordering::Relaxed), 2);
 }
 
-/// The log can't be read: every caller is told so within its time, also those that wait for others.
+/// Guards against callers that wait beyond their time limit, also behind others, while the log
+/// can't be read.
 #[tokio::test(start_paused = true)]
 async fn callers_learn_in_time_that_the_log_is_unavailable() {
     let log = SlowLog { is_unavailable: true, ..SlowLog::default() };
@@ -111,7 +112,7 @@
     assert!(begun.elapsed() <= Duration::from_secs(1));
 }
 
-/// A log with one record, whose first answers come without it though they tell of its end.
+/// A log with one record, whose first answers lack the record although they give the log's end.
 #[derive(Clone, Default)]
 struct EmptyAnswerLog {
     reads: Arc<AtomicUsize>,
@@ -138,7 +139,8 @@
     }
 }
 
-/// Guards against "no such job" for one that the log has: an answer without records is the end only if it lies there.
+/// Guards against a wrong "no such job": an answer without records is the end of the log only if it
+/// is located there.
 #[tokio::test(start_paused = true)]
 async fn an_answer_without_records_is_not_the_end_of_the_log() {
     let node = node();
@@ -155,9 +157,9 @@
     node.book().get(id).is_some()
 }
 
-/// Two reads begin at the same place. The one that is answered first tells of a job and that it was
-/// dropped since; the other, answered later, has seen only the job. Taken in again the job would be
-/// one that has not begun, and the next leader would run it once more.
+/// Guards against a job that runs again after it was dropped. Two reads begin at the same offset;
+/// the first answer has the job and its drop, the second, later one has only the job. If the job
+/// were added again, the next leader would start it.
 #[test]
 fn a_late_answer_does_not_restore_a_dropped_job() {
     let node = node();
@@ -170,8 +172,8 @@
     assert_eq!(node.book_end(), 2);
 }
 
-/// The VMs of a wave that were maintained are read twice, the older record after the newer. All stay
-/// maintained: a leader that took some for due would take them down again.
+/// Guards against maintaining VMs twice: records of a wave are read out of order, the older one
+/// last.
 #[test]
 fn maintained_vms_are_never_forgotten() {
     let node = node();
--- a/tests/job_path.rs
+++ b/tests/job_path.rs
@@ -218,7 +218,7 @@
     assert!(run.out.contains("ORGANISATION") && run.out.contains("west"), "{run:?}");
     let log = std::fs::read_to_string(&entry.output).expect("the entry's log");
     assert!(!log.contains("passing-key") && !log.contains("lasting-key"), "a key is logged");
-    assert!(log.contains("a caller is not let in"));
+    assert!(log.contains("caller not admitted"));
     site.close().await;
 }
 
--- a/tests/job_records.rs
+++ b/tests/job_records.rs
@@ -1,4 +1,4 @@
-//! What the job log keeps of a job can be read back, also as earlier versions wrote it.
+//! Records of the job log can be decoded, also in the form that earlier versions wrote.
 
 mod support;
 
@@ -45,7 +45,8 @@
     assert_eq!(JobRecord::decode(&keyed.key, &keyed.value), Some(record));
 }
 
-/// Guards against a successor that knows nothing of what was lost in a pool, as the record can't be read back.
+/// Guards against a successor that does not know the losses of a pool because their record can't be
+/// decoded.
 #[test]
 fn losses_of_a_pool_can_be_decoded() {
     let address = SocketAddr::from(([127, 0, 0, 2], 9_000));
@@ -56,8 +57,9 @@
     assert_eq!(JobRecord::decode(&keyed.key, &keyed.value), Some(record));
 }
 
-/// An entry of this version takes over from one that kept no count of lost workers. Its records end before that
-/// list. Taken for malformed, they would hide every run that is alive, and callers' tasks would run twice.
+/// Guards against tasks that run twice: this version takes over from one that kept no restart
+/// counts, whose records end before that list. If they were rejected as malformed, all live runs
+/// would be unknown.
 #[test]
 fn a_record_without_restart_counts_can_be_decoded() {
     let record = JobRecord::Progress(job_id(1), Arc::new(progress(Vec::new())));
@@ -67,8 +69,8 @@
     assert_eq!(JobRecord::decode(&keyed.key, before), Some(record));
 }
 
-/// Guards against a successor that knows nothing of jobs of which an earlier version wrote, and against an entry of that
-/// version that knows nothing of those of this one.
+/// Guards against a successor that does not know the jobs of which an earlier version wrote
+/// records, and against an entry of that version that does not know those of this one.
 #[test]
 fn a_record_without_the_times_of_last_runs_can_be_decoded() {
     let losses = LossCount { total: 2, at_start: 1 };
@@ -79,13 +81,13 @@
     let (last, before) = keyed.value.split_last().expect("not empty");
     assert_eq!(*last, 0, "the empty list is one byte");
     assert_eq!(JobRecord::decode(&keyed.key, before), Some(record.clone()));
-    // To that version the list is what follows the end of a record.
+    // That version ignores the list as trailing bytes.
     let longer = [&keyed.value[..], &[1, 7]].concat();
     assert_eq!(JobRecord::decode(&keyed.key, &longer), Some(record));
 }
 
-/// Guards against a cancellation by an entry of an earlier version that is not read, and one of this version that such
-/// an entry does not read: where nobody needs a key the record is the same.
+/// Guards against an incompatible cancellation record. Without API keys it must be the same as in
+/// earlier versions, so that each version reads those of the other.
 #[test]
 fn a_cancellation_is_encoded_as_in_earlier_versions() {
     let keyed = JobRecord::Cancelled(job_id(1)).encode().expect("a record");
--- a/tests/job_table_model.rs
+++ b/tests/job_table_model.rs
@@ -1,10 +1,11 @@
-//! Books of entries that fall behind the log against one that has read all of it.
+//! Model test: the job table of an entry that falls behind the log, against one that applies every
+//! record in order.
 //!
-//! Jobs are submitted, cancelled, ended, dropped and handed in again, by the entry itself and by others, also
-//! between the pages of a reading; the log forgets its oldest records again and again. In the end each book must
-//! tell what the log tells.
+//! Jobs are submitted, cancelled, ended, dropped and submitted again, by the entry itself and by
+//! others, also between the pages of a snapshot; the log expires its oldest records again and
+//! again. In the end both tables must agree.
 //!
-//! `IBISWEIR_TEST_SEED` draws other runs.
+//! `IBISWEIR_TEST_SEED` selects other random runs.
 
 mod support;
 
@@ -30,33 +31,33 @@
 const SEEDS: u64 = 400;
 const STEPS: usize = 60;
 const JOBS: u64 = 8;
-/// Keys on a page.
+/// Number of keys on a snapshot page.
 const PAGE: usize = 3;
 
-/// The log, and who writes to it.
+/// The log, and the entries that write to it.
 struct ModelSite {
     records: Vec<KeyedRecord>,
-    /// Oldest record that is kept.
+    /// Oldest record that the log still has.
     first: usize,
-    /// All of it, folded in order.
+    /// The expected table: every record, applied in order.
     expected: JobTable,
     random: StdRng,
     node: Arc<JobNode>,
-    /// Whether the entry leads: it alone ends and drops jobs then.
+    /// Whether the entry is the leader, in which case only it ends and drops jobs.
     leads: bool,
     is_quiet: bool,
 }
 
-/// How the entry has stored a record.
+/// How a record was stored.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StoreMethod {
-    /// Another entry has.
+    /// By another entry.
     OtherEntry,
-    /// By an append of its own.
+    /// By an append of this entry.
     OwnAppend,
-    /// Through the leader, at an offset that it is not told.
+    /// Through the leader, at an offset that this entry does not learn.
     Relayed,
-    /// As the leader.
+    /// By this entry as the leader.
     Leader,
 }
 
@@ -72,7 +73,7 @@
             StoreMethod::Leader => {
                 let end = self.records.len() as u64;
                 self.node.fold_own(std::slice::from_ref(folded), offset, end);
-                // The caller's entry may be the same.
+                // The entry that the caller used may be the leader itself.
                 if !matches!(folded, JobRecord::Dropped(_) | JobRecord::Progress(..)) {
                     self.node.fold(&[(0, folded.clone())]);
                 }
@@ -138,7 +139,7 @@
         self.0.lock().expect("no panic")
     }
 
-    /// What happens before or after an answer is made.
+    /// Random writes before or after an answer is made.
     fn write_concurrently(&self) {
         let mut site = self.site();
         let writes = if site.is_quiet { 0 } else { site.random.random_range(0..4) };
@@ -191,7 +192,7 @@
     }
 }
 
-/// Reads on with one of two readers, or as a caller's question does.
+/// Reads on with one of the tail readers, or catches up as for a caller's query.
 async fn read(log: &ModelLog, tails: &mut [TailReader], node: &Arc<JobNode>) {
     let choice = log.site().random.random_range(0..tails.len() + 1);
     let Some(tail) = tails.get_mut(choice) else {
@@ -203,8 +204,8 @@
     fold_step(node, step, tail.position());
 }
 
-/// Guards against a job that an entry takes for open, for over or for unknown against what the log says, however its
-/// readings fall in with what is written.
+/// Guards against an entry that shows an open, finished or unknown job in another state than the
+/// log has, whatever the order of its reads and the writes.
 #[tokio::test(start_paused = true)]
 async fn the_job_table_matches_the_log_after_random_reads_and_writes() {
     let mut pinned = 0xB00C;
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! What the log keeps of jobs that are over, and what an entry that is behind it tells callers.
+//! Snapshots of the log after jobs have finished, and the answers of an entry that restarts from
+//! one.
 
 mod support;
 
@@ -9,7 +10,7 @@
 use ibisweir::jobs::record::JobRecord;
 use support::sim::{SchedulerSim, config, job, job_id, step, submission, task, worker};
 
-/// A job that is over, and all that the log has of it after a while.
+/// A simulation with a finished job, and the snapshot of the log some time later.
 fn finished_job() -> (SchedulerSim, Vec<(u64, JobRecord)>) {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(1)]));
@@ -18,14 +19,15 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
     let logged = sim.book.get(id).expect("known");
     let submission = logged.submission.clone().expect("submitted");
-    let progress = logged.progress.clone().expect("it was begun");
+    let progress = logged.progress.clone().expect("it has progress");
     let newest =
         vec![(8, JobRecord::Progress(id, progress)), (9, JobRecord::Submitted(id, submission))];
     (sim, newest)
 }
 
-/// An entry restarts on a narrow link and reads the newest record of each key. Of jobs that are over it needs the
-/// state alone: their specs, nine tenths of all bytes, are off the log, and callers are told the same.
+/// Guards against snapshots full of specifications, which take nine tenths of all bytes when an
+/// entry restarts on a slow link. Of a finished job only the state is needed, and callers get the
+/// same answer.
 #[test]
 fn specs_of_finished_jobs_are_removed_from_the_log() {
     let (_, newest) = finished_job();
@@ -37,11 +39,11 @@
     assert_eq!(logged.state(), Some(JobState::Completed));
     let submission = logged.submission.as_ref().expect("kept");
     assert!(submission.has_no_spec());
-    assert_eq!(submission.task_count(), 1, "operators are still shown how many tasks it had");
+    assert_eq!(submission.task_count(), 1, "operators still see the number of tasks");
 }
 
-/// A leader takes over from such a log. The job is over: nothing of it runs, also when a caller's repeat of the
-/// submission, with its spec, comes seconds later.
+/// Guards against a finished job that runs again under a new leader, also when a caller repeats the
+/// submission, with its specification, seconds later.
 #[test]
 fn a_successor_starts_nothing_of_a_job_without_its_spec() {
     let (mut sim, _) = finished_job();
@@ -54,8 +56,9 @@
     assert_eq!(sim.state(job_id(1)), Some(JobState::Completed));
 }
 
-/// A record without a spec reaches a leader that does not know its job. It is no submission: completed at once, for
-/// want of any task, the job would be shown as done though nobody handed it in.
+/// Guards against a job that nobody submitted being shown as completed: a record without a
+/// specification reaches a leader that does not know the job. Taken for a submission, it would have
+/// no tasks to run and complete at once.
 #[test]
 fn a_record_without_a_spec_creates_no_job() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -66,8 +69,8 @@
     assert_eq!(sim.state(job_id(7)), None);
 }
 
-/// A cancelled job's run is still being stopped. Its spec is needed until that is over, as a successor must know
-/// what the run takes on its worker.
+/// Guards against a specification that is removed while a run of the cancelled job is still being
+/// stopped: a successor needs it to know the run's resource demands.
 #[test]
 fn a_spec_is_kept_until_no_task_of_its_job_runs() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
--- a/tests/submitter.rs
+++ b/tests/submitter.rs
@@ -1,4 +1,4 @@
-//! What an entry does with its callers' records while nobody leads.
+//! How an entry stores its callers' records while there is no leader.
 
 mod support;
 
@@ -37,7 +37,8 @@
     }
 }
 
-/// One of so many entries, on a log that takes so long for an append; nobody leads.
+/// An entry of a site with this many entries, whose log takes this long for an append; there is no
+/// leader.
 async fn entry(entries: u32, append_ms: u64) -> (Arc<JobNode>, CountingLog, SubmitHandle) {
     let (node, log) = (idle_node(), CountingLog::default());
     node.set_replicas(&ReplicaList { entries, ..ReplicaList::default() }, true);
@@ -54,8 +55,8 @@
     submitter.submit(record, Instant::now() + Duration::from_secs(10)).await
 }
 
-/// Guards against a successor whose first append stands behind one of every other entry, so that nothing is placed for
-/// seconds: hundreds of entries, or a slow log.
+/// Guards against a successor whose first append queues behind one from every other entry, with
+/// hundreds of entries or a slow log. Nothing would be placed for seconds.
 #[tokio::test(start_paused = true)]
 async fn entries_do_not_fill_the_log_without_a_leader() {
     for (entries, append_ms) in [(585, 4), (36, 300)] {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Guards against callers who are refused though the log has the time.
+/// Guards against rejecting callers although the log has time for their records.
 #[tokio::test(start_paused = true)]
 async fn a_few_entries_on_a_fast_log_append_for_themselves() {
     let (_node, log, submitter) = entry(36, 4).await;
@@ -75,14 +76,14 @@
     assert_eq!(log.0.load(Ordering::Relaxed), 1);
 }
 
-/// Guards against a refusal where a successor is there in a moment.
+/// Guards against rejecting callers although a successor takes over a moment later.
 #[tokio::test(start_paused = true)]
 async fn a_successor_stores_the_records_that_waited_for_it() {
     let (node, log, submitter) = entry(585, 4).await;
     let waiting = tokio::spawn(async move { submit(&submitter, 1).await });
     sleep(Duration::from_millis(600)).await;
     lead(&node);
-    // A second is more than it waits for.
+    // The submitter waits for less than these 1,000 ms.
     for _ in 0..100 {
         sleep(Duration::from_millis(10)).await;
         if let Some(batch) = node.with_scheduler(Scheduler::take_commit).flatten()
@@ -96,7 +97,7 @@
     assert_eq!(log.0.load(Ordering::Relaxed), 0);
 }
 
-/// Guards against callers who wait for a leader that is there and only slow.
+/// Guards against callers that wait for a new leader while the old one is only slow.
 #[tokio::test(start_paused = true)]
 async fn entries_append_for_themselves_while_the_leader_is_slow() {
     let (node, log, submitter) = entry(585, 4).await;
--- a/tests/support/fakes.rs
+++ b/tests/support/fakes.rs
@@ -1,4 +1,4 @@
-//! Nodes without loops, and workers that note what they are told.
+//! Entries without loops, and fakes of the log and the workers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 
 use super::sim::{bounds, config, site_settings};
 
-/// An entry that binds nothing and follows nothing.
+/// An entry with the settings of the simulation, without listeners and without loops.
 pub fn idle_node() -> Arc<JobNode> {
     node_with(site_settings())
 }
 
-/// The same with these settings.
+/// An entry with these settings, without listeners and without loops.
 pub fn node_with(settings: SiteSettings) -> Arc<JobNode> {
     Arc::new(JobNode::new(settings, Arc::default(), ibisweir::logging::silent()))
 }
 
-/// What an entry serves others with; its log can't be read.
+/// The service of an entry for other entries, with a log that can't be read.
 pub fn peer_service(
     node: Arc<JobNode>,
     workers: RecordingWorkers,
@@ -39,7 +39,7 @@
     PeerService { node, workers, reader }
 }
 
-/// A log that can't be reached.
+/// A log that rejects every call.
 #[derive(Clone, Copy, Debug)]
 pub struct UnreachableLog;
 
@@ -57,12 +57,13 @@
     }
 }
 
-/// Makes an entry the leader of term 1, with no job.
+/// Makes an entry the leader of term 1, without jobs.
 pub fn lead(node: &JobNode) {
     lead_from(node, &JobTable::default(), 1, None);
 }
 
-/// Makes an entry the leader of term 2, after one that was seen just now and has left this on the log.
+/// Makes an entry the leader of term 2. Its predecessor was seen just now and has left these jobs
+/// in the log.
 pub fn succeed(node: &JobNode, book: &JobTable) {
     let before = PreviousLeader { seen_ms: node.now(), end: PredecessorEnd::Unknown };
     lead_from(node, book, 2, Some(before));
@@ -83,38 +84,38 @@
     node.set_scheduler(Some(Scheduler::open(start, book)));
 }
 
-/// What workers answer.
+/// How workers answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerMode {
-    /// All is done at once.
+    /// Everything is done at once.
     #[default]
     Done,
-    /// All is done after 5 ms.
+    /// Everything is done after 5 ms.
     Prompt,
-    /// Starts are refused for want of room.
+    /// Starts are rejected for lack of capacity.
     NoCapacity,
-    /// Nothing is answered.
+    /// There are no answers.
     Silent,
-    /// Renewals are answered a second after their time.
+    /// Renewals are answered a second after their timeout.
     LateRenewals,
-    /// Calls of starts panic once they are sent.
+    /// Starts panic once they are sent.
     Panics,
 }
 
-/// Workers that note what they are told.
+/// Workers that record the commands that they receive.
 #[derive(Clone, Debug, Default)]
 pub struct RecordingWorkers {
-    /// What they answer.
+    /// How they answer.
     pub mode: AnswerMode,
     starts: Arc<Mutex<Vec<StartCall>>>,
     stops: Arc<Mutex<Vec<RunCall>>>,
-    /// Stops that are under way, and the most that were at a time.
+    /// Stops in flight, and the largest number of them at the same time.
     stops_in_flight: Arc<Mutex<(usize, usize)>>,
     addresses: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
 impl RecordingWorkers {
-    /// Workers that answer so.
+    /// Workers that answer in this mode.
     pub fn new(mode: AnswerMode) -> RecordingWorkers {
         RecordingWorkers { mode, ..RecordingWorkers::default() }
     }
@@ -129,7 +130,7 @@
         self.stops.lock().expect("no test thread panics")
     }
 
-    /// Most stops that were under way at a time.
+    /// Largest number of stops in flight at the same time.
     pub fn max_concurrent_stops(&self) -> usize {
         self.stops_in_flight().1
     }
@@ -138,7 +139,7 @@
         self.stops_in_flight.lock().expect("no test thread panics")
     }
 
-    /// Where starts and stops were sent.
+    /// Addresses that starts and stops were sent to.
     pub fn addresses(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
         self.addresses.lock().expect("no test thread panics")
     }
@@ -186,7 +187,7 @@
         self.starts().push(call.clone());
         match self.mode {
             AnswerMode::NoCapacity => CommandOutcome::Refused(CommandRefusal::NoCapacity, Some(40)),
-            AnswerMode::Panics => panic!("a call is broken off"),
+            AnswerMode::Panics => panic!("the call panics"),
             _ => self.answer(timeout).await,
         }
     }
--- a/tests/support/site_log.rs
+++ b/tests/support/site_log.rs
@@ -1,4 +1,4 @@
-//! The job log as a list of records, which keeps the newest record of each key.
+//! An in-memory job log that can be compacted to the newest record of each key.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
     records: Vec<(u64, KeyedRecord)>,
     /// Offset after the last record.
     pub end: u64,
-    /// Oldest offset from which it can be read on.
+    /// Oldest offset that can still be read.
     first: u64,
     /// Highest term that has written.
     pub epoch: u64,
 }
 
 impl SiteLog {
-    /// Appends records; answers with the offset of the first.
+    /// Appends records; returns the offset of the first.
     pub fn append(&mut self, records: Vec<KeyedRecord>) -> u64 {
         let offset = self.end;
         for record in records {
@@ -45,7 +45,7 @@
         newest
     }
 
-    /// Records from an offset on; nothing if the log no longer keeps them all.
+    /// Records from an offset on; `None` if some of them were compacted away.
     pub fn read(&self, from: u64) -> Option<LogBatch> {
         if from < self.first {
             return None;
--- a/tests/timeout_estimator.rs
+++ b/tests/timeout_estimator.rs
@@ -1,4 +1,4 @@
-//! Waits for the log follow its answers.
+//! Timeouts of appends follow the response times of the log.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
     estimator
 }
 
-/// The log answers in a few milliseconds and then loses an answer. The call is repeated after a
-/// fraction of the time that a slow log may take.
+/// A fast log loses an answer: the call is repeated after a fraction of the time that a slow log
+/// may take.
 #[test]
 fn the_timeout_is_short_for_a_fast_log() {
-    assert_eq!(TimeoutEstimator::new(LONGEST).timeout(), LONGEST, "nothing is known yet");
+    assert_eq!(TimeoutEstimator::new(LONGEST).timeout(), LONGEST, "no answer yet");
     assert!(estimator_after(&[5; 20]).timeout() <= Duration::from_millis(200));
 }
 
-/// The log turns slow: 240 ms an answer. The first calls are given up too early, each next one later,
-/// and once an answer has come the wait is long enough for those that follow.
+/// The log becomes slow, with 240 ms an answer. The first calls time out too early, each one later
+/// than the one before. Once an answer has come, the timeout is long enough for the following ones.
 #[test]
 fn the_timeout_grows_when_the_log_becomes_slow() {
     let mut estimator = estimator_after(&[5; 20]);
@@ -31,7 +31,7 @@
     while estimator.timeout() < Duration::from_millis(240) {
         estimator.record_timeout();
         tries += 1;
-        assert!(tries < 4, "it never waits long enough");
+        assert!(tries < 4, "the timeout never becomes long enough");
     }
     for _ in 0..3 {
         estimator.record_answer(Duration::from_millis(240));
@@ -43,7 +43,7 @@
     assert_eq!(estimator.timeout(), LONGEST);
 }
 
-/// The log is quick again: a minute of its answers is enough to wait briefly again.
+/// The log is fast again: after a minute of its answers the timeout is short again.
 #[test]
 fn the_timeout_shrinks_when_the_log_is_fast_again() {
     let mut estimator = estimator_after(&[5; 20]);
--- a/tests/wave_reporter.rs
+++ b/tests/wave_reporter.rs
@@ -1,4 +1,4 @@
-//! Operators are told of waves in order, whatever the log answers.
+//! Statuses of maintenance waves reach operators in order, whatever the log answers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use ibisweir::jobs::record::KeyedRecord;
 use ibisweir::jobs::wave_reporter::WaveReporter;
 
-/// Number and value of each record that was sent.
+/// Sequence number and value of each record that was sent.
 type SentRecords = Vec<(u64, Vec<u8>)>;
 
-/// A log that gives no answer to the first append, and keeps what it was sent.
+/// A log that does not answer the first append, and keeps everything that it receives.
 #[derive(Clone, Default)]
 struct LossyLog {
     sent: Arc<Mutex<SentRecords>>,
@@ -21,7 +21,7 @@
 impl JobLog for LossyLog {
     async fn append(&self, call: &AppendCall, _: Duration) -> AppendOutcome {
         let mut sent = self.sent.lock().expect("no panic before");
-        let stamp = call.stamp.as_ref().expect("a number makes a repeat harmless");
+        let stamp = call.stamp.as_ref().expect("a repeat needs a sequence number");
         assert_eq!(stamp.epoch, 7);
         sent.push((stamp.sequence, call.records[0].value.clone()));
         match sent.len() {
@@ -43,16 +43,16 @@
     Some(KeyedRecord { key: number.to_string(), value: vec![u8::from(is_completed)] })
 }
 
-/// The log gives no answer to the first status of a wave, which is complete a moment later. The first
-/// is repeated under its number before the second is sent under the next: sent at once, the second
-/// could be stored first, and operators would see the wave run for good.
+/// Guards against a complete wave that is shown as running for ever. The log does not answer the
+/// append of the first status, and the wave completes a moment later. If the second status were
+/// sent before the first one is repeated and stored, the log could store them in the wrong order.
 #[tokio::test(start_paused = true)]
 async fn a_status_is_sent_after_the_previous_one_is_stored() {
     let log = LossyLog::default();
     let logger = ibisweir::logging::silent();
     let (reporter, statuses) = WaveReporter::open(log.clone(), encode, logger, 7);
-    statuses.send((1, false)).expect("the teller listens");
-    statuses.send((1, true)).expect("the teller listens");
+    statuses.send((1, false)).expect("the reporter is running");
+    statuses.send((1, true)).expect("the reporter is running");
     drop(statuses);
     reporter.run().await;
     let sent = log.sent.lock().expect("no panic before");
