--- a/src/scheduler/incarnations.rs
+++ b/src/scheduler/incarnations.rs
@@ -29,10 +29,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct IncarnationTable {
     newest: BTreeMap<Arc<str>, Arc<str>>,
-    over: BTreeSet<Arc<str>>,
+    ended: BTreeSet<Arc<str>>,
     /// What is added to the leader's fencing token in calls to a worker, by its name. It stays when the worker is
     /// dropped from the list: called with a lower token than before, it would seem to obey another leader.
-    fence_steps: BTreeMap<Arc<str>, u64>,
+    fence_offsets: BTreeMap<Arc<str>, u64>,
 }
 
 impl IncarnationTable {
@@ -43,32 +43,32 @@
 
     /// Takes a life; the one before it, if that was another.
     fn begin(&mut self, id: &Arc<str>) -> Option<Arc<str>> {
-        let before = self.newest.insert(worker_name(id).into(), id.clone());
-        let before = before.filter(|before| before != id)?;
-        self.end(&before);
-        Some(before)
+        let previous = self.newest.insert(worker_name(id).into(), id.clone());
+        let previous = previous.filter(|previous| previous != id)?;
+        self.end(&previous);
+        Some(previous)
     }
 
     /// A life is over: what was sent to it must not count with the next one.
-    fn end(&mut self, before: &Arc<str>) {
-        self.over.insert(before.clone());
-        *self.fence_steps.entry(worker_name(before).into()).or_default() += 1;
+    fn end(&mut self, previous: &Arc<str>) {
+        self.ended.insert(previous.clone());
+        *self.fence_offsets.entry(worker_name(previous).into()).or_default() += 1;
     }
 
     /// What is added to the fencing token in calls to a worker.
-    fn fence_step(&self, id: &str) -> u64 {
-        self.fence_steps.get(worker_name(id)).copied().unwrap_or_default()
+    fn fence_offset(&self, id: &str) -> u64 {
+        self.fence_offsets.get(worker_name(id)).copied().unwrap_or_default()
     }
 
     /// Whether a later life has been seen.
-    pub fn is_over(&self, id: &str) -> bool {
-        self.over.contains(id)
+    pub fn has_ended(&self, id: &str) -> bool {
+        self.ended.contains(id)
     }
 }
 
 /// Whether a start may be carried out yet, or may have been by the next life: it was sent, and not every try of
 /// it is known to have reached the life that lists it.
-fn may_still_come(live: &LiveRun) -> bool {
+fn may_still_start(live: &LiveRun) -> bool {
     match live.phase {
         RunPhase::Planned => false,
         RunPhase::Inherited => true,
@@ -82,12 +82,12 @@
     /// Takes note of a life that a worker's entry tells of; false if a later one is known, so that the entry is
     /// out of date.
     pub(crate) fn begin_incarnation(&mut self, entry: &WorkerEntry, now: u64) -> bool {
-        if self.lives.is_over(&entry.id) {
+        if self.incarnations.has_ended(&entry.id) {
             return false;
         }
-        if let Some(before) = self.lives.begin(&entry.id) {
-            self.check_tokens(&entry.id);
-            self.reborn(&before, entry.clone(), now);
+        if let Some(previous) = self.incarnations.begin(&entry.id) {
+            self.check_token_limit(&entry.id);
+            self.replace_incarnation(&previous, entry.clone(), now);
         }
         true
     }
@@ -106,7 +106,7 @@
         if answering == *id || worker_name(id) == &**id {
             return true;
         }
-        if !self.lives.is_over(&answering) {
+        if !self.incarnations.has_ended(&answering) {
             let entry = WorkerEntry { id: answering, ..worker.entry.clone() };
             self.begin_incarnation(&entry, now);
         }
@@ -115,40 +115,40 @@
 
     /// The first answer of a life under our token: others of the same worker, of which only the log told, are
     /// over.
-    pub(crate) fn end_other_lives(&mut self, id: &Arc<str>, now: u64) {
+    pub(crate) fn end_other_incarnations(&mut self, id: &Arc<str>, now: u64) {
         let name = worker_name(id);
         let is_other = |other: &&Arc<str>| *other != id && worker_name(other) == name;
         let others: Vec<Arc<str>> = self.workers.keys().filter(is_other).cloned().collect();
         let Some(entry) = self.workers.get(id).map(|worker| worker.entry.clone()) else { return };
         for other in others {
-            self.lives.end(&other);
-            self.reborn(&other, entry.clone(), now);
+            self.incarnations.end(&other);
+            self.replace_incarnation(&other, entry.clone(), now);
         }
     }
 
     /// A term has only so many tokens. Behind the last one another term begins, since the next life could not be told
     /// from the one before.
-    fn check_tokens(&mut self, id: &str) {
-        self.is_deposed |= self.lives.fence_step(id) >= FENCING_TOKENS_PER_TERM;
+    fn check_token_limit(&mut self, id: &str) {
+        self.is_deposed |= self.incarnations.fence_offset(id) >= FENCING_TOKENS_PER_TERM;
     }
 
-    /// The life `before` is over, and the same worker lives on as `entry` tells.
-    fn reborn(&mut self, before: &Arc<str>, entry: WorkerEntry, now: u64) {
+    /// The life `previous` is over, and the same worker lives on as `entry` tells.
+    fn replace_incarnation(&mut self, previous: &Arc<str>, entry: WorkerEntry, now: u64) {
         let id = entry.id.clone();
-        let Some(old) = self.workers.remove(before) else { return };
+        let Some(old) = self.workers.remove(previous) else { return };
         let runs = old.runs.len();
         let change = IncarnationEnd::Restarted.description();
-        self.emit(SchedulerEvent::Worker { worker: before.clone(), change, runs });
-        self.abandoned.forget_worker(before);
-        self.actions.push(SchedulerAction::CancelCalls(before.clone()));
+        self.emit(SchedulerEvent::Worker { worker: previous.clone(), change, runs });
+        self.abandoned.forget_worker(previous);
+        self.actions.push(SchedulerAction::CancelCalls(previous.clone()));
         if old.draining_since_ms.is_none() {
-            self.blame_runs(std::slice::from_ref(&old), now);
+            self.count_worker_losses(std::slice::from_ref(&old), now);
         }
-        self.fleet.rename_worker(before, &id);
+        self.fleet.rename_worker(previous, &id);
         let carried: Vec<((TaskKey, u32), PlacedRun)> = old
             .runs
             .iter()
-            .filter(|(key, _)| self.is_carried(key))
+            .filter(|(key, _)| self.is_carried_over(key))
             .map(|(k, r)| (*k, *r))
             .collect();
         // Whatever comes of those can have a lease that was asked for until now.
@@ -157,13 +157,13 @@
         let next =
             self.workers.entry(id.clone()).or_insert_with(|| WorkerState::new(entry, bound, now));
         let target = next.target();
-        for ((key, run), booked) in &old.runs {
+        for ((key, run), placed) in &old.runs {
             if !carried.iter().any(|(carried, _)| carried == &(*key, *run)) {
-                self.run_lost(before, key, *run, booked.span, "its worker began anew", now);
+                self.lose_run(previous, key, *run, placed.span, "its worker began anew", now);
             }
         }
-        for ((key, run), booked) in carried {
-            self.carry_over(&id, key, run, booked, now);
+        for ((key, run), placed) in carried {
+            self.carry_over(&id, key, run, placed, now);
         }
         self.actions.push(SchedulerAction::StartRenewals(target));
         self.needs_dispatch = true;
@@ -179,19 +179,19 @@
         let is_open = |(key, run): (&(TaskKey, u32), &PlacedRun)| {
             let task = self.jobs.get(&key.0.job).and_then(|job| job.task(&key.0));
             let live = task.and_then(|task| task.live.iter().find(|live| live.run == key.1));
-            live.is_some_and(|live| may_still_come(live) && !(run.is_service && live.is_listed))
+            live.is_some_and(|live| may_still_start(live) && !(run.is_service && live.is_listed))
         };
         !worker.runs.iter().any(is_open)
     }
 
-    fn is_carried(&self, (key, run): &(TaskKey, u32)) -> bool {
+    fn is_carried_over(&self, (key, run): &(TaskKey, u32)) -> bool {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         let live = task.and_then(|task| task.live.iter().find(|live| live.run == *run));
-        live.is_some_and(may_still_come)
+        live.is_some_and(may_still_start)
     }
 
     /// Books a run on the next life, which may have it: the report that it gives under the new token tells.
-    fn carry_over(&mut self, id: &Arc<str>, key: TaskKey, run: u32, booked: PlacedRun, now: u64) {
+    fn carry_over(&mut self, id: &Arc<str>, key: TaskKey, run: u32, placed: PlacedRun, now: u64) {
         self.pending_commands.remove(&(key, run));
         let task = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(&key));
         let live = task.and_then(|task| task.live.iter_mut().find(|live| live.run == run));
@@ -202,12 +202,12 @@
         self.commits.mark_changed(key.job);
         if let Some(worker) = self.workers.get_mut(id) {
             let span = Default::default();
-            worker.add_run((key, run), PlacedRun { span, ..booked });
+            worker.add_run((key, run), PlacedRun { span, ..placed });
         }
     }
 
     /// Fencing token of calls to a worker: higher for each life of it that was seen to follow another.
     pub(crate) fn fence_of(&self, id: &str) -> u64 {
-        self.fence() + self.lives.fence_step(id)
+        self.fence() + self.incarnations.fence_offset(id)
     }
 }
--- a/src/scheduler/losses.rs
+++ b/src/scheduler/losses.rs
@@ -49,34 +49,34 @@
 pub const LOSSES_MAX: u32 = 5;
 /// Time within which the losses of two workers may have one cause, in milliseconds: silence is noticed
 /// after 0.3 to 0.8 s, and the VM list shows it a quarter of a second later.
-const COINCIDENCE_MS: u64 = 1_000;
+const CORRELATION_WINDOW_MS: u64 = 1_000;
 /// Time for which a verdict waits for the news of other workers, in milliseconds.
-pub const VERDICT_MS: u64 = 800;
+pub const GIVE_UP_DELAY_MS: u64 = 800;
 /// Workers of other pools and racks whose loss at one time is a larger failure.
-const STRUCK_MIN: usize = 2;
+const CORRELATED_LOSSES_MIN: usize = 2;
 /// Time for which a VM that has lost a worker is no witness, in milliseconds: some go down and up by turns,
 /// and their next loss tells of nobody.
-const UNSTEADY_MS: u64 = 15_000;
+const FLAPPING_MS: u64 = 15_000;
 /// Time for which it is kept whom a loss was counted against, in milliseconds: a task that crashes its workers waits
 /// for room on probation, and is convicted long after its first loss.
-const KEPT_MS: u64 = 60_000;
+const LOSS_RETENTION_MS: u64 = 60_000;
 /// Losses of a pool that the log keeps.
-const RECORDED_MAX: usize = 16;
+const LOGGED_LOSSES_MAX: usize = 16;
 /// Workers lost under a task from which the log keeps what else was lost in its pool.
-const RECORDED_FROM: u32 = 1;
+const LOGGED_LOSSES_FROM: u32 = 1;
 /// Workers lost under a task from which it starts in a calm pool only.
-const TRIAL_FROM: u32 = 3;
+const TRIAL_LOSSES_MIN: u32 = 3;
 /// Time that a VM of a calm pool lasts before the first such start, in milliseconds; twice that before the next.
-const CALM_LIFE_MS: u64 = 12_000;
+const STABLE_UPTIME_MS: u64 = 12_000;
 /// Age up to which a loss that the log tells of may be part of unrest that goes on, in milliseconds.
-const UNREST_MS: u64 = 2 * CALM_LIFE_MS;
+const ONGOING_LOSSES_MS: u64 = 2 * STABLE_UPTIME_MS;
 /// One VM in so many may be lost at any rate: suspects keep off those that were lost lately.
-const UNSTEADY_PART: usize = 8;
+const TOLERATED_VMS_PART: usize = 8;
 /// Time for which a pool is watched without a task on trial before it starts there again, in milliseconds: the loss of
 /// a worker is noticed within a second, and what was starting there has then outlived its next start.
-const WATCH_MS: u64 = 2_000;
+const OBSERVATION_MS: u64 = 2_000;
 /// Longest time that a task waits for its pool to become calm, in milliseconds.
-const CALM_WAIT_MAX_MS: u64 = 15_000;
+const STABLE_WAIT_MAX_MS: u64 = 15_000;
 
 impl LossCount {
     /// Time at work after which a task's start is over as a danger, in milliseconds; 0 for a task that is
@@ -91,17 +91,17 @@
 
     /// Whether the task is on trial: the loss of its next worker must tell of it alone.
     pub fn is_on_trial(&self) -> bool {
-        self.total >= TRIAL_FROM
+        self.total >= TRIAL_LOSSES_MIN
     }
 
     /// Whether the log must keep what else was lost in its pool.
-    fn is_recorded(&self) -> bool {
-        self.total >= RECORDED_FROM
+    fn is_logged(&self) -> bool {
+        self.total >= LOGGED_LOSSES_FROM
     }
 
     /// Time that each VM of a pool lasts in which a task on trial may start, in milliseconds.
-    fn calm_life_ms(&self) -> u64 {
-        CALM_LIFE_MS << self.total.saturating_sub(TRIAL_FROM).min(1)
+    fn required_uptime_ms(&self) -> u64 {
+        STABLE_UPTIME_MS << self.total.saturating_sub(TRIAL_LOSSES_MIN).min(1)
     }
 
     /// Whether so many were lost that the task must not start again.
@@ -121,7 +121,7 @@
     }
 
     /// A worker that was taken for lost has answered, or was lost by another task.
-    pub(crate) fn take_back(&mut self, is_at_start: bool) {
+    pub(crate) fn revert(&mut self, is_at_start: bool) {
         self.total = self.total.saturating_sub(1);
         self.at_start = self.at_start.saturating_sub(u32::from(is_at_start));
     }
@@ -165,37 +165,37 @@
 
 /// A run that was on a worker when it was lost.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ExposedRun {
+pub(crate) struct AffectedRun {
     /// Its task.
     pub task: TaskKey,
     /// Run number.
     pub run: u32,
     /// What was booked for it.
-    pub booked: PlacedRun,
+    pub placed: PlacedRun,
     /// Started by an earlier leader, and not told of by its worker since; or we are behind ourselves. For how
     /// long it was at work is not known.
-    pub is_unknown: bool,
+    pub is_age_unknown: bool,
 }
 
-impl ExposedRun {
+impl AffectedRun {
     /// Whether its start may have been the cause.
-    pub fn is_starting(&self) -> bool {
-        !self.booked.has_worked(CRASH_WINDOW_MS) || self.booked.is_on_probation()
+    pub fn may_be_cause(&self) -> bool {
+        !self.placed.has_worked(CRASH_WINDOW_MS) || self.placed.is_on_probation()
     }
 
     /// Whether it was just starting, as far as is known.
     pub fn is_at_start(&self) -> bool {
-        !self.booked.has_worked(CRASH_WINDOW_MS) && !self.is_unknown
+        !self.placed.has_worked(CRASH_WINDOW_MS) && !self.is_age_unknown
     }
 
     /// Whether it may have crashed its worker by its start.
-    fn is_suspected(&self) -> bool {
-        self.is_at_start() || self.booked.is_on_probation()
+    fn is_suspect(&self) -> bool {
+        self.is_at_start() || self.placed.is_on_probation()
     }
 
     /// Whether its worker's loss says nothing of it.
-    pub fn is_clear(&self) -> bool {
-        self.booked.is_service && self.booked.has_worked(LONG_CRASH_WINDOW_MS)
+    pub fn is_exempt(&self) -> bool {
+        self.placed.is_service && self.placed.has_worked(LONG_CRASH_WINDOW_MS)
     }
 }
 
@@ -207,7 +207,7 @@
     /// Whether it was counted as lost at the task's start.
     pub is_at_start: bool,
     /// Whether the task itself may have crashed the worker by starting.
-    is_starting: bool,
+    may_be_cause: bool,
 }
 
 /// A worker that was lost lately.
@@ -218,27 +218,29 @@
     /// Tasks that ran there.
     running_tasks: Vec<TaskKey>,
     /// Jobs that were just starting there.
-    starting: Vec<JobId>,
+    starting_jobs: Vec<JobId>,
     /// Whom it was counted against.
     counted: Vec<CountedRun>,
     /// Whether one of them was on probation, and so is likely to be the cause.
-    had_suspect: bool,
+    had_probation: bool,
     /// Tasks that may have crashed it: those that were just starting there or were on probation, and have not
     /// outlived a start since.
-    suspected: Vec<TaskKey>,
+    suspects: Vec<TaskKey>,
     /// Whether the VM had lost another one not long before.
-    was_unsteady: bool,
+    had_recent_loss: bool,
 }
 
 impl RecentLoss {
     /// Whether it came at that time, and of something else than a suspect or the VM's own trouble.
-    fn is_external(&self, at_ms: u64) -> bool {
-        self.at_ms.abs_diff(at_ms) <= COINCIDENCE_MS && !self.had_suspect && !self.was_unsteady
+    fn is_independent(&self, at_ms: u64) -> bool {
+        self.at_ms.abs_diff(at_ms) <= CORRELATION_WINDOW_MS
+            && !self.had_probation
+            && !self.had_recent_loss
     }
 
     /// Whether one of its tasks may be the cause, so that it tells nothing of the pool.
     fn is_explained(&self) -> bool {
-        !self.suspected.is_empty()
+        !self.suspects.is_empty()
     }
 
     fn is_near(&self, entry: &WorkerEntry) -> bool {
@@ -248,19 +250,19 @@
 
 /// Why a task may have to be given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum VerdictCause {
+pub(crate) enum GiveUpCause {
     /// It has lost a worker at its start, on probation.
-    Named,
+    SoleSuspect,
     /// It has lost as many workers as a task may.
-    Exhausted,
+    LossLimit,
 }
 
 /// A task that may have to be given up: once it is known which other workers went then, and whether another task
 /// is convicted of the losses that were counted against it.
 #[derive(Clone, Debug)]
-pub(crate) struct PendingVerdict {
+pub(crate) struct PendingGiveUp {
     /// Why.
-    pub cause: VerdictCause,
+    pub cause: GiveUpCause,
     /// The task.
     pub task: TaskKey,
     /// When its worker was lost, in milliseconds.
@@ -291,13 +293,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct LossTracker {
     recent: VecDeque<RecentLoss>,
-    verdicts: VecDeque<PendingVerdict>,
+    pending: VecDeque<PendingGiveUp>,
     /// VMs whose workers were lost under earlier leaders, as far as the log tells.
     inherited: Vec<InheritedLoss>,
     /// Tasks that are suspected of any recent loss.
-    suspected: BTreeSet<TaskKey>,
+    suspects: BTreeSet<TaskKey>,
     /// Jobs with tasks that have lost so many workers that the log keeps what else is lost in their pools.
-    recorded: BTreeSet<JobId>,
+    logged_jobs: BTreeSet<JobId>,
     /// When this leader began, in milliseconds.
     opened_ms: u64,
 }
@@ -318,7 +320,7 @@
     pub fn restore(&mut self, service: &Arc<str>, lost: &[LostVm], now: u64, wall_ms: u64) {
         self.inherited.extend(lost.iter().map(|vm| InheritedLoss {
             at_ms: match wall_ms.saturating_sub(vm.lost_ms) {
-                age if age < UNREST_MS => now,
+                age if age < ONGOING_LOSSES_MS => now,
                 age => now.saturating_sub(age),
             },
             service: service.clone(),
@@ -327,10 +329,10 @@
     }
 
     /// What the next leader must know of a pool.
-    pub fn record(&self, service: &str, now: u64, wall_ms: u64) -> Vec<LostVm> {
+    pub fn logged_losses(&self, service: &str, now: u64, wall_ms: u64) -> Vec<LostVm> {
         let wall_at = |at_ms: u64| wall_ms.saturating_sub(now.saturating_sub(at_ms));
-        let is_kept = |at_ms: u64| now <= at_ms + KEPT_MS;
-        let is_open = |task: &&TaskKey| self.recorded.contains(&task.job);
+        let is_kept = |at_ms: u64| now <= at_ms + LOSS_RETENTION_MS;
+        let is_open = |task: &&TaskKey| self.logged_jobs.contains(&task.job);
         let inherited = self
             .inherited
             .iter()
@@ -350,8 +352,8 @@
             inherited.chain(own).map(|vm| (vm.address, vm)).collect();
         let mut lost: Vec<LostVm> = latest.into_values().collect();
         lost.sort_by_key(|vm| vm.lost_ms);
-        let surplus = lost.len().saturating_sub(RECORDED_MAX);
-        lost.drain(..surplus);
+        let excess = lost.len().saturating_sub(LOGGED_LOSSES_MAX);
+        lost.drain(..excess);
         lost
     }
 
@@ -381,28 +383,28 @@
         pool: &PoolView<'_>,
         now: u64,
     ) -> bool {
-        let has_one_loss_left = pool.is_for_service && task.losses.has_one_loss_left();
-        let is_watched = has_one_loss_left || now < task.waiting_since_ms + WATCH_MS;
+        let is_last_start = pool.is_for_service && task.losses.has_one_loss_left();
+        let is_observed = is_last_start || now < task.waiting_since_ms + OBSERVATION_MS;
         self.may_keep_waiting(task, pool.is_for_service, now)
-            && (is_watched || !self.is_calm(pool, key, task.losses.calm_life_ms(), now))
+            && (is_observed || !self.is_stable(pool, key, task.losses.required_uptime_ms(), now))
     }
 
     /// Whether a task on trial still waits for the time and the VM that it asks for.
     pub fn may_keep_waiting(&self, task: &TaskRun, is_for_service: bool, now: u64) -> bool {
         let since_ms = task.waiting_since_ms.max(self.opened_ms);
         task.losses.is_on_trial()
-            && now < since_ms + CALM_WAIT_MAX_MS
+            && now < since_ms + STABLE_WAIT_MAX_MS
             && !task.is_overdue(is_for_service, now)
     }
 
-    /// Whether over no recent time, up to `life_ms`, VMs of a pool were lost at such a rate that they would not last
+    /// Whether over no recent time, up to `uptime_ms`, VMs of a pool were lost at such a rate that they would not last
     /// that long, whatever that task did.
-    fn is_calm(&self, pool: &PoolView<'_>, key: &TaskKey, life_ms: u64, now: u64) -> bool {
+    fn is_stable(&self, pool: &PoolView<'_>, key: &TaskKey, uptime_ms: u64, now: u64) -> bool {
         let vms = u64::try_from(pool.vms).unwrap_or(u64::MAX);
         let ages = self.loss_ages(pool.service, key, now);
-        let lost = (1u64..).zip(ages).skip(pool.vms / UNSTEADY_PART);
-        lost.take_while(|(_, age)| *age < life_ms)
-            .all(|(count, age)| age.saturating_mul(vms) >= count.min(vms).saturating_mul(life_ms))
+        let lost = (1u64..).zip(ages).skip(pool.vms / TOLERATED_VMS_PART);
+        lost.take_while(|(_, age)| *age < uptime_ms)
+            .all(|(count, age)| age.saturating_mul(vms) >= count.min(vms).saturating_mul(uptime_ms))
     }
 
     /// Whether no worker of a pool was lost for so long, by whatever cause; what was lost under earlier leaders aside.
@@ -413,62 +415,62 @@
 
     /// A job's task has lost so many workers.
     pub fn track_losses(&mut self, job: JobId, losses: &LossCount) {
-        if losses.is_recorded() {
-            self.recorded.insert(job);
+        if losses.is_logged() {
+            self.logged_jobs.insert(job);
         }
     }
 
     /// Jobs for which the log keeps what is lost in their pools.
-    pub fn recorded(&self) -> &BTreeSet<JobId> {
-        &self.recorded
+    pub fn logged_jobs(&self) -> &BTreeSet<JobId> {
+        &self.logged_jobs
     }
 
     /// A job is over.
     pub fn forget_job(&mut self, job: JobId) {
-        self.recorded.remove(&job);
+        self.logged_jobs.remove(&job);
     }
 
     /// A worker was lost with these runs.
-    pub fn insert(&mut self, entry: &WorkerEntry, exposed: &[ExposedRun], now: u64) {
-        self.recent.retain(|loss| now <= loss.at_ms + KEPT_MS);
-        let running_tasks = exposed.iter().map(|run| run.task).collect();
-        let starting = exposed.iter().filter(|run| run.is_starting());
+    pub fn insert(&mut self, entry: &WorkerEntry, affected: &[AffectedRun], now: u64) {
+        self.recent.retain(|loss| now <= loss.at_ms + LOSS_RETENTION_MS);
+        let running_tasks = affected.iter().map(|run| run.task).collect();
+        let starting = affected.iter().filter(|run| run.may_be_cause());
         let mut jobs: Vec<JobId> = starting.map(|run| run.task.job).collect();
         jobs.dedup();
-        let counted = exposed.iter().filter(|run| !run.is_clear()).map(|run| CountedRun {
+        let counted = affected.iter().filter(|run| !run.is_exempt()).map(|run| CountedRun {
             task: run.task,
             is_at_start: run.is_at_start(),
-            is_starting: run.is_starting(),
+            may_be_cause: run.may_be_cause(),
         });
-        let suspected = exposed.iter().filter(|run| run.is_suspected()).map(|run| run.task);
+        let suspects = affected.iter().filter(|run| run.is_suspect()).map(|run| run.task);
         let loss = RecentLoss {
             at_ms: now,
             entry: entry.clone(),
             running_tasks,
-            starting: jobs,
+            starting_jobs: jobs,
             counted: counted.collect(),
-            had_suspect: exposed.iter().any(|run| run.booked.is_on_probation()),
-            suspected: suspected.collect(),
-            was_unsteady: self.has_recent_loss(entry.address, now),
+            had_probation: affected.iter().any(|run| run.placed.is_on_probation()),
+            suspects: suspects.collect(),
+            had_recent_loss: self.has_recent_loss(entry.address, now),
         };
         self.recent.push_back(loss);
-        self.suspected = self.recent.iter().flat_map(|loss| loss.suspected.clone()).collect();
+        self.suspects = self.recent.iter().flat_map(|loss| loss.suspects.clone()).collect();
     }
 
     /// Whether a recent loss may be this task's doing.
-    pub fn is_suspected(&self, task: &TaskKey) -> bool {
-        self.suspected.contains(task)
+    pub fn is_suspect(&self, task: &TaskKey) -> bool {
+        self.suspects.contains(task)
     }
 
     /// A task has outlived a start, so that it did not crash the workers that were lost at earlier ones; the services
     /// of those whose loss nothing explains any more.
-    pub fn exonerate(&mut self, task: &TaskKey) -> BTreeSet<Arc<str>> {
+    pub fn clear_suspect(&mut self, task: &TaskKey) -> BTreeSet<Arc<str>> {
         let mut services = BTreeSet::new();
-        if !self.suspected.remove(task) {
+        if !self.suspects.remove(task) {
             return services;
         }
-        for loss in self.recent.iter_mut().filter(|loss| loss.suspected.contains(task)) {
-            loss.suspected.retain(|other| other != task);
+        for loss in self.recent.iter_mut().filter(|loss| loss.suspects.contains(task)) {
+            loss.suspects.retain(|other| other != task);
             if !loss.is_explained() {
                 services.insert(loss.entry.service.clone());
             }
@@ -478,16 +480,16 @@
 
     /// Whether a worker was lost at this address not long ago, of which no task is known to be the cause.
     pub fn has_recent_loss(&self, address: SocketAddr, now: u64) -> bool {
-        let is_recent = |loss: &&RecentLoss| now <= loss.at_ms + UNSTEADY_MS;
+        let is_recent = |loss: &&RecentLoss| now <= loss.at_ms + FLAPPING_MS;
         let is_inherited =
-            |loss: &InheritedLoss| loss.vm.address == address && now <= loss.at_ms + UNSTEADY_MS;
+            |loss: &InheritedLoss| loss.vm.address == address && now <= loss.at_ms + FLAPPING_MS;
         self.recent.iter().filter(is_recent).any(|loss| loss.entry.address == address)
             || self.inherited.iter().any(is_inherited)
     }
 
     /// The same of a loss that no task is likely to have caused: its VM may go down again by itself.
     pub fn has_unexplained_loss(&self, address: SocketAddr, now: u64) -> bool {
-        let is_recent = |at_ms: u64| now <= at_ms + UNSTEADY_MS;
+        let is_recent = |at_ms: u64| now <= at_ms + FLAPPING_MS;
         let own = self.recent.iter().filter(|loss| is_recent(loss.at_ms) && !loss.is_explained());
         let mut inherited = self.inherited.iter().filter(|loss| is_recent(loss.at_ms));
         own.map(|loss| loss.entry.address).any(|other| other == address)
@@ -496,45 +498,50 @@
 
     /// Whether other workers were lost when a task of that job lost its own by something else than a suspect: one
     /// beside it, or several anywhere. Those that it may have crashed itself don't count.
-    pub fn is_larger_failure(&self, job: JobId, entry: &WorkerEntry, lost_ms: u64) -> bool {
-        let others = self.recent.iter().filter(|loss| !loss.starting.contains(&job));
-        is_larger(others.filter(|loss| loss.is_external(lost_ms)), entry)
+    pub fn is_correlated_failure(&self, job: JobId, entry: &WorkerEntry, lost_ms: u64) -> bool {
+        let others = self.recent.iter().filter(|loss| !loss.starting_jobs.contains(&job));
+        is_correlated(others.filter(|loss| loss.is_independent(lost_ms)), entry)
     }
 
     /// A job is known to crash its workers as it starts: what was lost then tells of no VM, and of none of the tasks
     /// that it took along; those are returned.
     ///
-    /// A task that was just starting there itself stays counted, but for the loss of `convicted`, the worker
+    /// A task that was just starting there itself stays counted, but for the loss of `crashed_worker`, the worker
     /// on which nothing else can have been the cause: two tasks that crash their workers may have met.
-    pub fn explain(&mut self, job: JobId, convicted: &str) -> Vec<CountedRun> {
+    pub fn attribute_to(&mut self, job: JobId, crashed_worker: &str) -> Vec<CountedRun> {
         let (explained, open): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.recent)
             .into_iter()
-            .partition(|loss| loss.starting.contains(&job));
+            .partition(|loss| loss.starting_jobs.contains(&job));
         self.recent = open;
         let mut cleared = Vec::new();
         for loss in explained {
-            let is_convicted = convicted == &*loss.entry.id;
+            let is_crashed_worker = crashed_worker == &*loss.entry.id;
             let others = loss.counted.into_iter().filter(|run| run.task.job != job);
-            cleared.extend(others.filter(|run| is_convicted || !run.is_starting));
+            cleared.extend(others.filter(|run| is_crashed_worker || !run.may_be_cause));
         }
         cleared
     }
 
     /// A verdict is to be given later.
-    pub fn defer(&mut self, verdict: PendingVerdict) {
-        self.verdicts.push_back(verdict);
+    pub fn defer_give_up(&mut self, pending: PendingGiveUp) {
+        self.pending.push_back(pending);
     }
 
     /// The next verdict that is due.
-    pub fn due_verdict(&mut self, now: u64) -> Option<PendingVerdict> {
-        let is_due = self.verdicts.front().is_some_and(|next| now >= next.lost_ms + VERDICT_MS);
-        if is_due { self.verdicts.pop_front() } else { None }
+    pub fn take_due_give_up(&mut self, now: u64) -> Option<PendingGiveUp> {
+        let is_due =
+            self.pending.front().is_some_and(|next| now >= next.lost_ms + GIVE_UP_DELAY_MS);
+        if is_due { self.pending.pop_front() } else { None }
     }
 }
 
 /// Whether losses that came together with that of a worker, and of something else than a suspect, show a failure
 /// that is larger than one worker.
-fn is_larger<'a>(external: impl Iterator<Item = &'a RecentLoss>, entry: &WorkerEntry) -> bool {
-    let external: Vec<&RecentLoss> = external.filter(|loss| loss.entry.id != entry.id).collect();
-    external.len() >= STRUCK_MIN || external.iter().any(|loss| loss.is_near(entry))
+fn is_correlated<'a>(
+    independent: impl Iterator<Item = &'a RecentLoss>,
+    entry: &WorkerEntry,
+) -> bool {
+    let independent: Vec<&RecentLoss> =
+        independent.filter(|loss| loss.entry.id != entry.id).collect();
+    independent.len() >= CORRELATED_LOSSES_MIN || independent.iter().any(|loss| loss.is_near(entry))
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -156,7 +156,7 @@
     pending_commands: BTreeSet<(TaskKey, u32)>,
     abandoned: AbandonedRuns,
     losses: LossTracker,
-    lives: IncarnationTable,
+    incarnations: IncarnationTable,
     waits: WaitLog,
     organisations: OrganisationLedger,
     shares: ShareLimiter,
@@ -213,7 +213,7 @@
             pending_commands: BTreeSet::new(),
             abandoned: AbandonedRuns::default(),
             losses: LossTracker::open(now),
-            lives: IncarnationTable::default(),
+            incarnations: IncarnationTable::default(),
             waits: WaitLog::open(now),
             organisations: OrganisationLedger::default(),
             shares: ShareLimiter::default(),
@@ -448,7 +448,7 @@
                 if is_known || submission.has_no_spec() {
                     return;
                 }
-                if self.tombstones.covers(*job, submission.organisation.as_ref()) {
+                if self.tombstones.is_cancelled(*job, submission.organisation.as_ref()) {
                     self.finished.insert(*job, now);
                     return;
                 }
@@ -545,7 +545,7 @@
 
     /// The entry of a worker of this name is gone.
     pub fn worker_unlisted(&mut self, name: &Arc<str>, now: u64) {
-        let id = self.lives.newest(name).clone();
+        let id = self.incarnations.newest(name).clone();
         self.life_unlisted(&id, now);
     }
 
@@ -581,7 +581,7 @@
 
     /// The VM list, as it was when it was asked for at `asked_ms`.
     pub fn update_vms(&mut self, vms: Vec<VmEntry>, asked_ms: u64, now: u64) {
-        self.fleet.update_list(vms, &self.lives, asked_ms);
+        self.fleet.update_list(vms, &self.incarnations, asked_ms);
         self.end_vanished_workers(asked_ms, now);
         self.needs_dispatch = true;
     }
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -19,23 +19,23 @@
 /// The same while a suspect is on probation there: its report is waited for before anything else starts.
 const PROBATION_WAIT: Duration = Duration::from_millis(CRASH_WINDOW_MS);
 /// Time for an answer beyond the wait that was asked for.
-const RENEW_PATIENCE: Duration = Duration::from_millis(300);
+const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
 /// The same while answers wait in a line of ours: longest, and how much longer for each part of it.
 const RENEW_WAIT_MAX: Duration = Duration::from_millis(1_600);
-const RENEW_STRETCH: u32 = 10;
-const RENEW_PATIENCE_MAX: Duration = Duration::from_millis(1_500);
+const RENEW_WAIT_FACTOR: u32 = 10;
+const RENEW_TIMEOUT_MAX: Duration = Duration::from_millis(1_500);
 /// Longest time that an answer which is read at all has been on its way, in milliseconds.
 pub(crate) const ANSWER_AGE_MAX_MS: u64 =
-    whole_ms(RENEW_WAIT_MAX) + whole_ms(RENEW_PATIENCE_MAX) + whole_ms(LATE_ANSWER_GRACE);
+    whole_ms(RENEW_WAIT_MAX) + whole_ms(RENEW_TIMEOUT_MAX) + whole_ms(LATE_ANSWER_GRACE);
 /// Least time between two renewals of a worker, in milliseconds: exits that come together are then
 /// taken together, for one call and one append.
-const RENEW_GAP_MS: u64 = 40;
+const RENEW_INTERVAL_MS: u64 = 40;
 /// Most that this time grows by while answers wait in a line of ours, in milliseconds.
-const LINE_GAP_MAX_MS: u64 = 200;
+const QUEUE_INTERVAL_MAX_MS: u64 = 200;
 /// The same for a worker whose exits can't be acknowledged: each report lists them all again, at once.
-const WITHHELD_GAP_MS: u64 = 400;
+const WITHHELD_INTERVAL_MS: u64 = 400;
 /// Time between two tries to reach a worker that doesn't answer, in milliseconds.
-const SILENT_GAP_MS: u64 = 150;
+const SILENT_INTERVAL_MS: u64 = 150;
 /// Age of a worker's last report from which the next one is not waited for, in milliseconds, longer than any
 /// renewal takes: it was idle, and its clock is to be known anew before its first start goes out.
 const IDLE_REPORT_MS: u64 = 4_000;
@@ -68,7 +68,7 @@
         }
         let (fence, lease_ms, is_confirmed) =
             (self.fence_of(id), self.lease_ms(), self.is_confirmed(now));
-        let (renew_wait, patience) = (self.renew_wait(), self.renew_patience());
+        let (renew_wait, timeout) = (self.renew_wait(), self.renew_timeout());
         let may_acknowledge = self.may_acknowledge(id);
         let is_wanted = self.has_wanted_run(id);
         let Some(worker) = self.workers.get_mut(id) else { return RenewPlan::Stop };
@@ -79,8 +79,9 @@
             return RenewPlan::Wait(Duration::from_millis(worker.next_renewal_ms - now));
         }
         let is_silent = worker.silent_since_ms.is_some();
-        let has_untold = worker.exits_acknowledgeable() > worker.exits_acknowledged;
-        if worker.has_accepted_token && !is_silent && worker.runs.is_empty() && !has_untold {
+        let has_unacknowledged = worker.exits_acknowledgeable() > worker.exits_acknowledged;
+        if worker.has_accepted_token && !is_silent && worker.runs.is_empty() && !has_unacknowledged
+        {
             return RenewPlan::Wait(Duration::from_secs(60));
         }
         // The same exits would be listed again at once until the log has them.
@@ -93,15 +94,15 @@
         // elsewhere; so must those of runs that are all to be stopped, as each stop can be lost.
         // One whose answers come late looks silent whenever a renewal is due.
         let answers_late = worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS);
-        let extends = is_confirmed && is_wanted && (!is_silent || answers_late);
-        let lease_until_ms = if extends { worker.lease_until(lease_ms, now) } else { None };
+        let may_extend = is_confirmed && is_wanted && (!is_silent || answers_late);
+        let lease_until_ms = if may_extend { worker.lease_until(lease_ms, now) } else { None };
         // An exit that is listed already would end the wait at once.
-        let waits = worker.has_accepted_token
+        let may_wait = worker.has_accepted_token
             && !is_silent
             && !waits_for_log
             && !worker.runs.is_empty()
             && !worker.has_withheld_exit();
-        let wait = match waits {
+        let wait = match may_wait {
             true if worker.has_waiting_suspect() => Duration::ZERO,
             true if now > worker.report_ms + IDLE_REPORT_MS => Duration::ZERO,
             true if worker.has_starting_suspect() => renew_wait.min(PROBATION_WAIT),
@@ -110,7 +111,7 @@
         };
         let acked_exits = if may_acknowledge { worker.exits_acknowledgeable() } else { 0 };
         let call = RenewCall { fence, acked_exits, lease_until_ms, wait };
-        RenewPlan::Call(worker.target(), call, patience)
+        RenewPlan::Call(worker.target(), call, timeout)
     }
 
     /// Whether a worker has a run that is not to be stopped.
@@ -126,14 +127,14 @@
     /// Wait for an exit that is asked for. Renewals without news are what a choked link can best do
     /// without: a hundred workers' take half of 2 Mbit/s at the shortest wait.
     fn renew_wait(&self) -> Duration {
-        let line = Duration::from_millis(self.pace.queue_delay_ms);
-        (RENEW_WAIT + line * RENEW_STRETCH).min(RENEW_WAIT_MAX)
+        let queue_delay = Duration::from_millis(self.pace.queue_delay_ms);
+        (RENEW_WAIT + queue_delay * RENEW_WAIT_FACTOR).min(RENEW_WAIT_MAX)
     }
 
     /// Time for an answer beyond that wait: what stands in line with it is not the worker's silence.
-    fn renew_patience(&self) -> Duration {
-        let line = Duration::from_millis(self.pace.queue_delay_ms);
-        (RENEW_PATIENCE + line * 2).min(RENEW_PATIENCE_MAX)
+    fn renew_timeout(&self) -> Duration {
+        let queue_delay = Duration::from_millis(self.pace.queue_delay_ms);
+        (RENEW_TIMEOUT + queue_delay * 2).min(RENEW_TIMEOUT_MAX)
     }
 
     /// The answer to a renewal that was sent at `sent_ms` and given up has come.
@@ -150,7 +151,7 @@
         let runs = worker.runs.len();
         let change = "answers late";
         self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
-        self.take_report(id, call, report, sent_ms, now);
+        self.handle_report(id, call, report, sent_ms, now);
     }
 
     /// A renewal that was sent at `sent_ms` was answered, or not.
@@ -163,22 +164,22 @@
         now: u64,
     ) {
         match outcome {
-            CommandOutcome::Done(report) => self.take_report(id, call, report, sent_ms, now),
-            CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.outranked(id),
+            CommandOutcome::Done(report) => self.handle_report(id, call, report, sent_ms, now),
+            CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.handle_fenced(id),
             CommandOutcome::Refused(CommandRefusal::WrongIncarnation, _) => {
                 self.end_incarnation(id, IncarnationEnd::OtherIncarnation, now);
             }
             CommandOutcome::Refused(..) => {
                 let Some(worker) = self.workers.get_mut(id) else { return };
-                worker.next_renewal_ms = now + SILENT_GAP_MS;
+                worker.next_renewal_ms = now + SILENT_INTERVAL_MS;
             }
-            CommandOutcome::Unknown => self.not_answered(id, sent_ms, now),
+            CommandOutcome::Unknown => self.handle_no_answer(id, sent_ms, now),
         }
     }
 
-    fn not_answered(&mut self, id: &Arc<str>, sent_ms: u64, now: u64) {
+    fn handle_no_answer(&mut self, id: &Arc<str>, sent_ms: u64, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.next_renewal_ms = now + SILENT_GAP_MS;
+        worker.next_renewal_ms = now + SILENT_INTERVAL_MS;
         let was_silent = worker.silent_since_ms.is_some();
         worker.silent_since_ms.get_or_insert(sent_ms.max(worker.report_ms));
         let runs = worker.runs.len();
@@ -190,7 +191,7 @@
         }
     }
 
-    fn take_report(
+    fn handle_report(
         &mut self,
         id: &Arc<str>,
         call: &RenewCall,
@@ -206,7 +207,7 @@
         let was_fenced = std::mem::replace(&mut worker.has_accepted_token, true);
         if !was_fenced {
             worker.token_accepted_ms = now;
-            self.end_other_lives(id, now);
+            self.end_other_incarnations(id, now);
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.sample_clock_since(report.clock_ms, sent_ms, now);
@@ -215,13 +216,13 @@
         worker.exits_acknowledged = worker.exits_acknowledged.max(call.acked_exits);
         let has_more = !report.exits.is_empty() || !report.running.is_empty();
         // The first report under our token gave no lease yet.
-        let gap_ms = match was_fenced && !was_silent {
-            true if worker.has_withheld_exit() => WITHHELD_GAP_MS,
+        let interval_ms = match was_fenced && !was_silent {
+            true if worker.has_withheld_exit() => WITHHELD_INTERVAL_MS,
             // More exits then share a report, and a report is the larger part of what comes in.
-            true => RENEW_GAP_MS + self.pace.queue_delay_ms.min(LINE_GAP_MAX_MS),
+            true => RENEW_INTERVAL_MS + self.pace.queue_delay_ms.min(QUEUE_INTERVAL_MAX_MS),
             false => 0,
         };
-        worker.next_renewal_ms = now + if has_more { gap_ms } else { 0 };
+        worker.next_renewal_ms = now + if has_more { interval_ms } else { 0 };
         if !was_fenced || was_silent {
             self.needs_dispatch = true;
             let change = if was_fenced { "answers again" } else { "is ours" };
@@ -229,36 +230,36 @@
             self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
         }
         if was_silent {
-            self.forgive_runs(id);
+            self.revert_counted_losses(id);
         }
         let is_full = report.exits.len() >= REPORT_EXITS_MAX;
-        self.take_exits(id, &report.exits, now);
-        self.see_runs(id, &report, now);
-        self.take_running(id, &report.running, sent_ms, is_full, now);
+        self.handle_exits(id, &report.exits, now);
+        self.record_work(id, &report, now);
+        self.reconcile_runs(id, &report.running, sent_ms, is_full, now);
         self.adjust_throttles(id, &report.running, now);
     }
 
     /// Takes in until when, by the worker's clock, the runs that it lists were at work.
-    fn see_runs(&mut self, id: &Arc<str>, report: &WorkerReport, now: u64) {
+    fn record_work(&mut self, id: &Arc<str>, report: &WorkerReport, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let mut proved = Vec::new();
-        for told in &report.running {
-            let key = (told.task, told.run);
+        let mut cleared = Vec::new();
+        for listed in &report.running {
+            let key = (listed.task, listed.run);
             worker.observe_run(&key, report.clock_ms);
-            if self.losses.is_suspected(&told.task) && worker.has_settled(&key) {
-                proved.push(told.task);
+            if self.losses.is_suspect(&listed.task) && worker.has_settled(&key) {
+                cleared.push(listed.task);
             }
         }
-        proved.iter().for_each(|task| self.exonerate(task, now));
+        cleared.iter().for_each(|task| self.clear_suspect(task, now));
     }
 
-    fn take_exits(&mut self, id: &Arc<str>, exits: &[TaskExit], now: u64) {
+    fn handle_exits(&mut self, id: &Arc<str>, exits: &[TaskExit], now: u64) {
         let Some(worker) = self.workers.get(id) else { return };
         let seen = worker.exits_seen;
         let mut through = seen;
         for exit in exits.iter().filter(|exit| exit.number > seen) {
             through = through.max(exit.number);
-            self.take_exit(id, exit, now);
+            self.handle_exit(id, exit, now);
         }
         if through > seen {
             if let Some(worker) = self.workers.get_mut(id) {
@@ -268,8 +269,8 @@
         }
     }
 
-    fn take_exit(&mut self, id: &Arc<str>, exit: &TaskExit, now: u64) {
-        let how = exit_word(exit.kind);
+    fn handle_exit(&mut self, id: &Arc<str>, exit: &TaskExit, now: u64) {
+        let how = exit_label(exit.kind);
         let (task, run) = (exit.task, exit.run);
         self.emit(SchedulerEvent::Ended { task, run, worker: id.clone(), how });
         if self.must_withhold(id, exit) {
@@ -285,7 +286,7 @@
             .iter()
             .find(|live| live.run == exit.run && live.worker == *id)
             .map(|live| (live.phase, live.begun_ms));
-        if is_kept(&exit.checkpoint) && spec.is_resumable {
+        if is_storable(&exit.checkpoint) && spec.is_resumable {
             task.checkpoint.clone_from(&exit.checkpoint);
         }
         if exit.kind == ExitKind::Done {
@@ -300,13 +301,13 @@
         match exit.kind {
             // Also of a run that was taken for over: it did end so, and must not be run again.
             ExitKind::Done if !spec.is_service => {
-                self.exonerate(&exit.task, now);
-                self.credit_worker(id, now);
-                self.task_done(&exit.task, now);
+                self.clear_suspect(&exit.task, now);
+                self.record_success(id, now);
+                self.complete_task(&exit.task, now);
             }
             ExitKind::Failed if live.is_some() && !is_over => {
-                self.blame_worker(id, &exit.task, now);
-                self.task_failed(&exit.task, exit.run, now);
+                self.record_failure(id, &exit.task, now);
+                self.handle_failed_run(&exit.task, exit.run, now);
             }
             ExitKind::Done
             | ExitKind::Failed
@@ -321,21 +322,21 @@
         }
     }
 
-    fn credit_worker(&mut self, id: &Arc<str>, now: u64) {
+    fn record_success(&mut self, id: &Arc<str>, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.record_outcome(true, now);
         }
     }
 
-    fn blame_worker(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
+    fn record_failure(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
         // A task that has failed elsewhere too is more likely at fault itself.
-        let fails_elsewhere = self
+        let has_failed_elsewhere = self
             .jobs
             .get(&key.job)
             .and_then(|job| job.task(key))
             .is_some_and(|task| task.failed_on.iter().any(|other| other != id));
         if let Some(worker) = self.workers.get_mut(id)
-            && !fails_elsewhere
+            && !has_failed_elsewhere
         {
             worker.record_outcome(false, now);
         }
@@ -345,7 +346,7 @@
     }
 
     /// A task is done: its copies stop, and the job may be completed.
-    fn task_done(&mut self, key: &TaskKey, now: u64) {
+    fn complete_task(&mut self, key: &TaskKey, now: u64) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let is_gang = job.spec(key).is_some_and(|spec| spec.is_gang);
         let Some(step) = job.step_mut(key) else { return };
@@ -397,7 +398,7 @@
     }
 
     /// A run has failed: the task is tried again, or its job has failed.
-    fn task_failed(&mut self, key: &TaskKey, run: u32, now: u64) {
+    fn handle_failed_run(&mut self, key: &TaskKey, run: u32, now: u64) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let attempts = self.queue_of(job).map_or(1, |queue| queue.attempts);
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -460,7 +461,7 @@
     }
 
     /// Compares what runs with the books.
-    fn take_running(
+    fn reconcile_runs(
         &mut self,
         id: &Arc<str>,
         running: &[RunningTask],
@@ -468,36 +469,36 @@
         is_full: bool,
         now: u64,
     ) {
-        let told: BTreeMap<(TaskKey, u32), &RunningTask> =
-            running.iter().map(|told| ((told.task, told.run), told)).collect();
+        let listed: BTreeMap<(TaskKey, u32), &RunningTask> =
+            running.iter().map(|listed| ((listed.task, listed.run), listed)).collect();
         let Some(worker) = self.workers.get(id) else { return };
-        let booked: Vec<(TaskKey, u32)> = worker.runs.keys().copied().collect();
+        let placed: Vec<(TaskKey, u32)> = worker.runs.keys().copied().collect();
         // A stop that an earlier leader sent is through by then. Until it is, the worker lists the
         // run as if it stayed; counted as at work, another task of its step would be stopped beside
         // it, and more be away than its disruption budget allows.
         let settled_ms = worker.token_accepted_ms + self.bounds.stop_ms;
         let is_settled = sent_ms > settled_ms;
-        for (key, run) in &booked {
-            match told.get(&(*key, *run)) {
-                Some(told) => self.run_seen(id, key, *run, told, is_settled, now),
+        for (key, run) in &placed {
+            match listed.get(&(*key, *run)) {
+                Some(listed) => self.handle_listed_run(id, key, *run, listed, is_settled, now),
                 None if is_full => {}
-                None => self.run_missing(id, key, *run, sent_ms, now),
+                None => self.handle_missing_run(id, key, *run, sent_ms, now),
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.second_runs.retain(|run| told.contains_key(run));
+            worker.second_runs.retain(|run| listed.contains_key(run));
         }
-        for (key, run) in told.keys().filter(|key| !booked.contains(key)) {
-            self.stop_stray(id, key, *run, now);
+        for (key, run) in listed.keys().filter(|key| !placed.contains(key)) {
+            self.stop_unknown_run(id, key, *run, now);
         }
     }
 
-    fn run_seen(
+    fn handle_listed_run(
         &mut self,
         id: &Arc<str>,
         key: &TaskKey,
         run: u32,
-        told: &RunningTask,
+        listed: &RunningTask,
         is_settled: bool,
         now: u64,
     ) {
@@ -505,8 +506,8 @@
         let is_over = job.state.is_final();
         let Some(spec) = job.spec(key).cloned() else { return };
         let Some(task) = job.task_mut(key) else { return };
-        if spec.is_resumable && is_kept(&told.checkpoint) {
-            task.checkpoint.clone_from(&told.checkpoint);
+        if spec.is_resumable && is_storable(&listed.checkpoint) {
+            task.checkpoint.clone_from(&listed.checkpoint);
         }
         let Some(live) = task.live.iter_mut().find(|live| live.run == run) else { return };
         let was_listed = std::mem::replace(&mut live.is_listed, true);
@@ -522,12 +523,12 @@
             live.begun_ms = now;
             live.progress_ms = now;
         }
-        if told.percent > live.percent {
+        if listed.percent > live.percent {
             live.progress_ms = now;
         }
         let was_at_work = live.percent >= 100;
-        live.percent = told.percent;
-        let is_at_work = spec.is_service && told.percent >= 100;
+        live.percent = listed.percent;
+        let is_at_work = spec.is_service && listed.percent >= 100;
         if is_at_work {
             task.last_serving_ms = now;
             if !was_at_work {
@@ -551,7 +552,14 @@
     }
 
     /// A booked run is not listed. Only what the worker was asked after it had confirmed counts.
-    fn run_missing(&mut self, id: &Arc<str>, key: &TaskKey, run: u32, sent_ms: u64, now: u64) {
+    fn handle_missing_run(
+        &mut self,
+        id: &Arc<str>,
+        key: &TaskKey,
+        run: u32,
+        sent_ms: u64,
+        now: u64,
+    ) {
         let Some(live) = self
             .jobs
             .get(&key.job)
@@ -580,29 +588,34 @@
 
     /// Something runs that the books know nothing of: the books were right when it was taken off
     /// them, so it must not go on.
-    fn stop_stray(&mut self, id: &Arc<str>, key: &TaskKey, run: u32, now: u64) {
+    fn stop_unknown_run(&mut self, id: &Arc<str>, key: &TaskKey, run: u32, now: u64) {
         let fence = self.fence_of(id);
-        let booked = self.booked_beside(key, run);
+        let placed = self.other_placed_run(key, run);
         let Some(worker) = self.workers.get_mut(id) else { return };
         // A late answer may list a run that has ended since.
-        let booked = booked.filter(|_| worker.late_answer_ms != Some(now));
-        let is_told = booked.is_some() && !worker.second_runs.insert((*key, run));
+        let placed = placed.filter(|_| worker.late_answer_ms != Some(now));
+        let is_reported = placed.is_some() && !worker.second_runs.insert((*key, run));
         let call = crate::jobs::ports::RunCall { task: *key, run, fence };
         let reason = "not on the books";
         self.actions.push(crate::scheduler::SchedulerAction::StopUntracked(worker.target(), call));
         self.emit(SchedulerEvent::Stopped { task: *key, run, reason });
-        if let Some(booked) = booked.filter(|_| !is_told) {
-            self.emit(SchedulerEvent::SecondRun { task: *key, run, worker: id.clone(), booked });
+        if let Some(placed) = placed.filter(|_| !is_reported) {
+            self.emit(SchedulerEvent::SecondRun {
+                task: *key,
+                run,
+                worker: id.clone(),
+                booked: placed,
+            });
         }
     }
 
     /// A run on the books of a task that allows no copies, beside this one.
-    fn booked_beside(&self, key: &TaskKey, run: u32) -> Option<u32> {
+    fn other_placed_run(&self, key: &TaskKey, run: u32) -> Option<u32> {
         let job = self.jobs.get(&key.job)?;
         job.spec(key).filter(|spec| !spec.allows_copies && !spec.is_gang)?;
-        let is_beside = |live: &&LiveRun| live.run != run && live.phase != RunPhase::Planned;
-        let beside = job.task(key)?.live.iter().find(is_beside)?;
-        Some(beside.run)
+        let is_other = |live: &&LiveRun| live.run != run && live.phase != RunPhase::Planned;
+        let other = job.task(key)?.live.iter().find(is_other)?;
+        Some(other.run)
     }
 }
 
@@ -611,12 +624,12 @@
 }
 
 /// Whether there is a checkpoint, and one that the log can hold beside all others.
-fn is_kept(checkpoint: &str) -> bool {
+fn is_storable(checkpoint: &str) -> bool {
     !checkpoint.is_empty() && checkpoint.len() <= CHECKPOINT_BYTES_MAX
 }
 
 /// The word for an exit in logs and metrics.
-pub fn exit_word(kind: ExitKind) -> &'static str {
+pub fn exit_label(kind: ExitKind) -> &'static str {
     match kind {
         ExitKind::Done => "done",
         ExitKind::Failed => "failed",
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -46,9 +46,9 @@
     pub(crate) fn adopt_runs(&mut self, key: &TaskKey, now: u64) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(task) = job.task(key) else { return };
-        let Some(mut booked) = booked(job.spec(key), task) else { return };
+        let Some(mut placed) = placed_run(job.spec(key), task) else { return };
         // How long they have been at work is not known. A pool full of services would take no start.
-        booked.is_shared = booked.is_service;
+        placed.is_shared = placed.is_service;
         let runs: Vec<(Arc<str>, u32)> =
             task.live.iter().map(|live| (live.worker.clone(), live.run)).collect();
         let bound = self.predecessor_lease_bound_ms;
@@ -60,15 +60,15 @@
                 .workers
                 .entry(worker.clone())
                 .or_insert_with(|| WorkerState::unlisted(worker, bound, now));
-            entry.add_run((*key, run), booked);
+            entry.add_run((*key, run), placed);
         }
     }
 
     /// Gives a task to a worker; the start goes out once the log has it.
     pub(crate) fn plan_run(&mut self, key: &TaskKey, run: u32, worker: &Arc<str>, now: u64) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let booked = job.task(key).and_then(|task| booked(job.spec(key), task));
-        let Some(booked) = booked else { return };
+        let placed = job.task(key).and_then(|task| placed_run(job.spec(key), task));
+        let Some(placed) = placed else { return };
         let age_ms = now.saturating_sub(job.arrived_ms);
         let Some(task) = job.task_mut(key) else { return };
         task.run = task.run.max(run);
@@ -84,7 +84,7 @@
             if !entry.has_lease_for(whole_ms, now) {
                 self.actions.push(SchedulerAction::RenewNow(worker.clone()));
             }
-            entry.add_run((*key, run), booked);
+            entry.add_run((*key, run), placed);
         }
         self.commits.queue_start(*key, run);
         self.emit(SchedulerEvent::Placed { task: *key, run, worker: worker.clone(), age_ms });
@@ -162,12 +162,12 @@
                 continue;
             }
             let (id, phase, since_ms) = (live.worker.clone(), live.phase, live.phase_since_ms);
-            let quiet_ms = live.retry_ms + stop_pause_ms(live.stops);
+            let stop_due_ms = live.retry_ms + stop_pause_ms(live.stops);
             let Some(worker) = self.workers.get(&id) else { continue };
             let is_silent = worker.silent_since_ms.is_some();
             let is_held = match phase {
                 // It extends no lease, and gets there where only the answers are late.
-                RunPhase::Stopping => !worker.may_take_stops() || is_silent && now < quiet_ms,
+                RunPhase::Stopping => !worker.may_take_stops() || is_silent && now < stop_due_ms,
                 // To a worker that doesn't answer it would prolong the time after which its runs are
                 // known to be over.
                 _ => is_silent || !worker.is_listed,
@@ -258,7 +258,7 @@
 
     /// A start was not sent, as nobody could carry it out: it is due at once.
     pub fn start_not_sent(&mut self, key: &TaskKey, run: u32, now: u64) {
-        self.close_try(key, run);
+        self.close_attempt(key, run);
         if let Some(live) = self.live_mut(key, run)
             && live.phase == RunPhase::Starting
         {
@@ -276,9 +276,11 @@
         outcome: &CommandOutcome<u64>,
         now: u64,
     ) {
-        self.close_try(key, run);
+        self.close_attempt(key, run);
         match outcome {
-            CommandOutcome::Done(clock_ms) => self.start_done(worker, key, run, *clock_ms, now),
+            CommandOutcome::Done(clock_ms) => {
+                self.handle_start_done(worker, key, run, *clock_ms, now)
+            }
             CommandOutcome::Unknown => {
                 // It may be carried out seconds later. The same start again settles it: the worker
                 // takes a run once, however often it is told.
@@ -292,7 +294,7 @@
                 if let (Some(clock), Some(worker)) = (clock_ms, self.workers.get_mut(worker)) {
                     worker.sample_clock(*clock, now);
                 }
-                self.start_refused(worker, key, run, *refusal, now);
+                self.handle_start_refused(worker, key, run, *refusal, now);
                 // The same start would be refused again.
                 if clock_ms.is_none()
                     && let Some(live) = self.live_mut(key, run)
@@ -304,13 +306,20 @@
     }
 
     /// The outcome of a try of a start is known.
-    fn close_try(&mut self, key: &TaskKey, run: u32) {
+    fn close_attempt(&mut self, key: &TaskKey, run: u32) {
         if let Some(live) = self.live_mut(key, run) {
             live.open_tries = live.open_tries.saturating_sub(1);
         }
     }
 
-    fn start_done(&mut self, id: &Arc<str>, key: &TaskKey, run: u32, clock_ms: u64, now: u64) {
+    fn handle_start_done(
+        &mut self,
+        id: &Arc<str>,
+        key: &TaskKey,
+        run: u32,
+        clock_ms: u64,
+        now: u64,
+    ) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.sample_clock(clock_ms, now);
         }
@@ -328,7 +337,7 @@
         }
     }
 
-    fn start_refused(
+    fn handle_start_refused(
         &mut self,
         id: &Arc<str>,
         key: &TaskKey,
@@ -342,7 +351,7 @@
         self.emit(SchedulerEvent::StartRefused { task: *key, run, worker, reason, open_tries });
         match refusal {
             CommandRefusal::Fenced => {
-                self.outranked(id);
+                self.handle_fenced(id);
                 return;
             }
             CommandRefusal::WrongIncarnation => {
@@ -421,7 +430,7 @@
                     live.answered_ms.get_or_insert(now);
                 }
             }
-            CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.outranked(worker),
+            CommandOutcome::Refused(CommandRefusal::Fenced, _) => self.handle_fenced(worker),
             CommandOutcome::Refused(CommandRefusal::WrongIncarnation, _) => {
                 self.end_incarnation(worker, IncarnationEnd::OtherIncarnation, now);
             }
@@ -431,7 +440,7 @@
 
     /// A worker refuses our token: a higher term was seen there. One that began anew meanwhile refuses what was
     /// sent to its life before, which tells of no other leader.
-    pub(crate) fn outranked(&mut self, id: &str) {
+    pub(crate) fn handle_fenced(&mut self, id: &str) {
         self.is_deposed |= self.workers.contains_key(id);
     }
 
@@ -465,11 +474,11 @@
         if end.is_loss() {
             let is_leaving = |worker: &&WorkerState| worker.draining_since_ms.is_some();
             let lost: Vec<WorkerState> = gone.iter().filter(|w| !is_leaving(w)).cloned().collect();
-            self.blame_runs(&lost, now);
+            self.count_worker_losses(&lost, now);
         }
         for worker in gone {
-            for ((key, run), booked) in &worker.runs {
-                self.run_lost(&worker.entry.id, key, *run, booked.span, "worker is gone", now);
+            for ((key, run), placed) in &worker.runs {
+                self.lose_run(&worker.entry.id, key, *run, placed.span, "worker is gone", now);
             }
         }
         self.needs_dispatch = true;
@@ -477,7 +486,7 @@
     }
 
     /// A run is over with its worker, or taken for over.
-    pub(crate) fn run_lost(
+    pub(crate) fn lose_run(
         &mut self,
         id: &Arc<str>,
         key: &TaskKey,
@@ -512,12 +521,12 @@
             let (change, runs) = ("leases have run out", worker.runs.len());
             self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
             let counted = match worker.draining_since_ms {
-                None => self.blame_silent(&worker, now),
+                None => self.count_silent_worker(&worker, now),
                 Some(_) => BTreeMap::new(),
             };
-            for ((key, run), booked) in worker.runs {
+            for ((key, run), placed) in worker.runs {
                 self.abandoned.insert(&id, key, run, counted.get(&(key, run)).copied());
-                self.run_lost(&id, &key, run, booked.span, "lease has run out", now);
+                self.lose_run(&id, &key, run, placed.span, "lease has run out", now);
             }
             if !self.workers.get(&id).is_some_and(|worker| worker.is_listed) {
                 self.workers.remove(&id);
@@ -527,18 +536,18 @@
 
     /// Buries workers that don't answer and whose VM no longer runs them.
     pub(crate) fn end_vanished_workers(&mut self, asked_ms: u64, now: u64) {
-        let Some(lives) = self.fleet.vm_states() else { return };
-        let over: Vec<Arc<str>> = self
+        let Some(vm_states) = self.fleet.vm_states() else { return };
+        let vanished: Vec<Arc<str>> = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.silent_since_ms.is_some_and(|since| since <= asked_ms))
             .filter(|(id, _)| {
-                lives.get(worker_name(id)).is_none_or(|state| *state == VmState::Down)
+                vm_states.get(worker_name(id)).is_none_or(|state| *state == VmState::Down)
             })
             .map(|(id, _)| id.clone())
             .collect();
-        if !over.is_empty() {
-            self.end_incarnations(&over, IncarnationEnd::NotOnVm, now);
+        if !vanished.is_empty() {
+            self.end_incarnations(&vanished, IncarnationEnd::NotOnVm, now);
         }
     }
 
@@ -580,7 +589,7 @@
     }
 }
 
-fn booked(spec: Option<&StepSpec>, task: &TaskRun) -> Option<PlacedRun> {
+fn placed_run(spec: Option<&StepSpec>, task: &TaskRun) -> Option<PlacedRun> {
     spec.map(|spec| PlacedRun {
         need: spec.reservation(),
         span: WorkSpan::default(),
--- a/src/scheduler/stragglers.rs
+++ b/src/scheduler/stragglers.rs
@@ -13,7 +13,7 @@
 /// Siblings that a run is compared with at least.
 const SIBLINGS_MIN: usize = 2;
 /// Progress from which a run's pace tells its run time, in percent.
-const TELLING_PERCENT: u32 = 20;
+const PROJECTION_PERCENT_MIN: u32 = 20;
 /// Times that a task is moved for being slow or stalled: beyond, it is the task and not its worker.
 const MOVES_MAX: u32 = 2;
 /// Time that a moved run loses at least, in milliseconds.
@@ -22,18 +22,18 @@
 impl Scheduler {
     /// Looks for runs that stall or crawl, and takes them elsewhere.
     pub(crate) fn move_stragglers(&mut self, now: u64) {
-        let mut stalled = Vec::new();
+        let mut stragglers = Vec::new();
         for worker in self.workers.values() {
             if worker.silent_since_ms.is_some() || worker.entry.is_draining {
                 continue;
             }
             for (key, run) in worker.runs.keys() {
-                if let Some(reason) = self.verdict(key, *run, now) {
-                    stalled.push((worker.entry.id.clone(), *key, *run, reason));
+                if let Some(reason) = self.straggler_reason(key, *run, now) {
+                    stragglers.push((worker.entry.id.clone(), *key, *run, reason));
                 }
             }
         }
-        for (id, key, run, reason) in stalled {
+        for (id, key, run, reason) in stragglers {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.record_outcome(false, now);
             }
@@ -46,7 +46,7 @@
     }
 
     /// Why a run should be taken elsewhere, if it should.
-    fn verdict(&self, key: &TaskKey, run: u32, now: u64) -> Option<&'static str> {
+    fn straggler_reason(&self, key: &TaskKey, run: u32, now: u64) -> Option<&'static str> {
         let job = self.jobs.get(&key.job)?;
         let spec = job.spec(key)?;
         let live = job.task(key)?.live.iter().find(|live| live.run == run)?;
@@ -58,8 +58,8 @@
             return None;
         }
         // What took long on several workers is long itself.
-        let patience = (STALL_MS + spec.estimate_ms) << moves;
-        if now.saturating_sub(live.progress_ms) > patience {
+        let timeout = (STALL_MS + spec.estimate_ms) << moves;
+        if now.saturating_sub(live.progress_ms) > timeout {
             return Some("no progress");
         }
         self.is_far_slower(job, key, live, now).then_some("far slower than its siblings")
@@ -69,13 +69,13 @@
     /// of the same kind, while declared run times tell little. One without siblings is left alone.
     fn is_far_slower(&self, job: &JobRun, key: &TaskKey, live: &LiveRun, now: u64) -> bool {
         let Some(step) = job.step(key) else { return false };
-        let Some(usual) = median_runtime_ms(step, Some(key.index)) else { return false };
+        let Some(median) = median_runtime_ms(step, Some(key.index)) else { return false };
         if live.percent == 0 {
-            return now.saturating_sub(live.begun_ms) > usual * SLOW_FACTOR;
+            return now.saturating_sub(live.begun_ms) > median * SLOW_FACTOR;
         }
-        let heading_for = projected_runtime_ms(live);
-        let left = heading_for.saturating_sub(now.saturating_sub(live.begun_ms));
-        heading_for > usual * SLOW_FACTOR && left > usual + MOVE_COST_MS
+        let projected = projected_runtime_ms(live);
+        let left = projected.saturating_sub(now.saturating_sub(live.begun_ms));
+        projected > median * SLOW_FACTOR && left > median + MOVE_COST_MS
     }
 }
 
@@ -97,9 +97,10 @@
             times.push(took);
             continue;
         }
-        let is_telling =
-            |live: &&LiveRun| live.phase == RunPhase::Running && live.percent >= TELLING_PERCENT;
-        times.extend(task.live.iter().find(is_telling).map(projected_runtime_ms));
+        let has_projection = |live: &&LiveRun| {
+            live.phase == RunPhase::Running && live.percent >= PROJECTION_PERCENT_MIN
+        };
+        times.extend(task.live.iter().find(has_projection).map(projected_runtime_ms));
     }
     times.sort_unstable();
     (times.len() >= SIBLINGS_MIN).then(|| times[times.len() / 2])
--- a/src/scheduler/tombstones.rs
+++ b/src/scheduler/tombstones.rs
@@ -18,26 +18,31 @@
 /// Such cancellations, and when each was last heard of, in milliseconds.
 #[derive(Debug, Default)]
 pub(crate) struct TombstoneTable {
-    marks: BTreeMap<(JobId, OrganisationDigest), u64>,
+    cancellations: BTreeMap<(JobId, OrganisationDigest), u64>,
 }
 
 impl TombstoneTable {
     /// Takes one in.
-    pub fn insert(&mut self, job: JobId, mark: OrganisationDigest, now: u64) {
-        self.marks.insert((job, mark), now);
+    pub fn insert(&mut self, job: JobId, digest: OrganisationDigest, now: u64) {
+        self.cancellations.insert((job, digest), now);
     }
 
     /// Whether a job of this organisation was cancelled.
-    pub fn covers(&self, job: JobId, organisation: Option<&Arc<str>>) -> bool {
-        let mut marks =
-            self.marks.range((job, OrganisationDigest::FIRST)..=(job, OrganisationDigest::LAST));
-        marks.any(|((_, mark), _)| mark.may_see(organisation))
+    pub fn is_cancelled(&self, job: JobId, organisation: Option<&Arc<str>>) -> bool {
+        let mut cancellations = self
+            .cancellations
+            .range((job, OrganisationDigest::FIRST)..=(job, OrganisationDigest::LAST));
+        cancellations.any(|((_, digest), _)| digest.may_see(organisation))
     }
 
     /// Takes out those that nothing needs any more.
-    fn take(&mut self, is_old: impl Fn(JobId, u64) -> bool) -> Vec<(JobId, OrganisationDigest)> {
-        let is_old = |(job, _): &(JobId, OrganisationDigest), heard: &mut u64| is_old(*job, *heard);
-        self.marks.extract_if(.., is_old).map(|(key, _)| key).collect()
+    fn remove_where(
+        &mut self,
+        is_old: impl Fn(JobId, u64) -> bool,
+    ) -> Vec<(JobId, OrganisationDigest)> {
+        let is_old =
+            |(job, _): &(JobId, OrganisationDigest), seen_ms: &mut u64| is_old(*job, *seen_ms);
+        self.cancellations.extract_if(.., is_old).map(|(key, _)| key).collect()
     }
 }
 
@@ -46,14 +51,14 @@
     pub(super) fn cancel_by(
         &mut self,
         id: JobId,
-        mark: OrganisationDigest,
+        digest: OrganisationDigest,
         source: RecordSource,
         now: u64,
     ) {
-        self.tombstones.insert(id, mark, now);
-        self.commits.cancel_tombstone_drop(id, mark);
+        self.tombstones.insert(id, digest, now);
+        self.commits.cancel_tombstone_drop(id, digest);
         match self.jobs.get(&id) {
-            Some(job) if mark.may_see(job.submission.organisation.as_ref()) => {
+            Some(job) if digest.may_see(job.submission.organisation.as_ref()) => {
                 self.cancel(id, source, now);
             }
             Some(_) => {}
@@ -90,8 +95,10 @@
     /// Takes off the log what was cancelled long ago and never came, or is over and dropped.
     fn drop_tombstones(&mut self, is_old: impl Fn(u64) -> bool) {
         let is_known = |job: &JobId| self.jobs.contains_key(job) || self.finished.contains_key(job);
-        for (job, mark) in self.tombstones.take(|job, heard| is_old(heard) && !is_known(&job)) {
-            self.commits.drop_tombstone(job, mark);
+        for (job, digest) in
+            self.tombstones.remove_where(|job, seen_ms| is_old(seen_ms) && !is_known(&job))
+        {
+            self.commits.drop_tombstone(job, digest);
         }
     }
 }
