--- a/tests/decision_cost.rs
+++ b/tests/decision_cost.rs
@@ -20,7 +20,7 @@
 }
 
 /// A full pool with jobs in line.
-fn crowded(config: SiteConfig) -> SchedulerSim {
+fn full_pool(config: SiteConfig) -> SchedulerSim {
     let mut sim = SchedulerSim::open(config, workers());
     for id in 0..JOBS {
         sim.submit(id + 1, job(vec![step(8)]));
@@ -37,9 +37,9 @@
         sim.scheduler.confirm(sim.now);
         sim.scheduler.jobs_read(sim.now);
         sim.scheduler.workers_read(sim.now);
-        let begun = Instant::now();
+        let started = Instant::now();
         sim.scheduler.tick(sim.now, wall_ms);
-        let spent = begun.elapsed();
+        let spent = started.elapsed();
         sim.scheduler.take_actions();
         spent
     };
@@ -52,11 +52,14 @@
 fn queues_without_jobs_cost_the_leader_nothing() {
     let unused = (0..QUEUES).map(|n| queue(&format!("unused-{n}"), POOL));
     let large = SiteConfig { queues: unused.chain(config().queues).collect(), ..config() };
-    let (mut small, mut large) = (crowded(config()), crowded(large));
-    let (mut few, mut many) = (Duration::MAX, Duration::MAX);
+    let (mut small, mut large) = (full_pool(config()), full_pool(large));
+    let (mut without_unused, mut with_unused) = (Duration::MAX, Duration::MAX);
     for _ in 0..ROUNDS {
-        few = few.min(fastest_tick(&mut small));
-        many = many.min(fastest_tick(&mut large));
+        without_unused = without_unused.min(fastest_tick(&mut small));
+        with_unused = with_unused.min(fastest_tick(&mut large));
     }
-    assert!(many < few * 2, "{many:?} with {QUEUES} more queues, {few:?} without");
+    assert!(
+        with_unused < without_unused * 2,
+        "{with_unused:?} with {QUEUES} more queues, {without_unused:?} without"
+    );
 }
--- a/tests/runtime_model.rs
+++ b/tests/runtime_model.rs
@@ -8,23 +8,23 @@
 use rand::{Rng, SeedableRng};
 use support::sim::{SchedulerSim, config, job, step, task, worker};
 
-fn drawn() -> StdRng {
+fn random() -> StdRng {
     StdRng::seed_from_u64(7)
 }
 
 /// Before anything was seen, declared times are all that there is.
 #[test]
-fn declared_times_hold_until_a_step_is_done() {
+fn declared_times_are_used_until_a_step_is_done() {
     assert_eq!(RuntimeModel::default().expected_ms(1_234), 1_234);
 }
 
 /// Declared times that are right are followed, also far from those that were seen.
 #[test]
-fn right_declarations_are_followed() {
+fn correct_declarations_are_followed() {
     let mut model = RuntimeModel::default();
-    let mut drawn = drawn();
+    let mut random = random();
     for _ in 0..100 {
-        let declared = drawn.random_range(400..1_200);
+        let declared = random.random_range(400..1_200);
         model.record(declared, declared);
     }
     let expected = model.expected_ms(2_000);
@@ -33,11 +33,11 @@
 
 /// Declared times that tell nothing are not followed: every step is expected to take the mean.
 #[test]
-fn declarations_that_tell_nothing_are_not_followed() {
+fn unrelated_declarations_are_not_followed() {
     let mut model = RuntimeModel::default();
-    let mut drawn = drawn();
+    let mut random = random();
     for _ in 0..200 {
-        model.record(drawn.random_range(100..2_000), drawn.random_range(700..900));
+        model.record(random.random_range(100..2_000), random.random_range(700..900));
     }
     for declared in [100, 2_000] {
         let expected = model.expected_ms(declared);
@@ -47,7 +47,7 @@
 
 /// Equal declarations say nothing of each other; their steps are expected to take what they took.
 #[test]
-fn equal_declarations_are_corrected_by_what_was_seen() {
+fn equal_declarations_are_corrected_by_observed_times() {
     let mut model = RuntimeModel::default();
     for _ in 0..60 {
         model.record(500, 1_500);
--- a/tests/scheduler_room.rs
+++ b/tests/scheduler_capacity.rs
@@ -9,7 +9,7 @@
 use support::sim::{SchedulerSim, config, job, step, task, worker};
 
 /// Pools whose workers start whatever they are told to.
-fn unguarded() -> SiteConfig {
+fn without_admission_check() -> SiteConfig {
     let mut config = config();
     config.pools.iter_mut().for_each(|pool| pool.has_admission_check = false);
     config
@@ -29,9 +29,9 @@
 /// A worker's room shrinks below what runs there. Nothing that runs is stopped, and nothing is started until
 /// enough has ended; when the room grows again, what waited starts at once.
 #[test]
-fn a_room_that_shrinks_below_what_runs_takes_nothing_until_it_fits() {
+fn a_worker_that_shrinks_below_its_runs_takes_no_start_until_it_fits() {
     let w1 = worker("w1", "r1");
-    let mut sim = SchedulerSim::open(unguarded(), vec![w1.clone()]);
+    let mut sim = SchedulerSim::open(without_admission_check(), vec![w1.clone()]);
     let first = sim.submit(1, job(vec![step(6)]));
     sim.advance(100);
     sim.report(with_cores(&w1, 4));
@@ -53,20 +53,20 @@
 /// Starts wait to be sent when the worker says that it has less room. Sent all the same, they would bring a
 /// worker that guards nothing over its room: callers' tasks there would starve each other. They go elsewhere.
 #[test]
-fn starts_that_wait_for_a_room_that_shrinks_go_elsewhere() {
+fn starts_waiting_for_a_worker_that_shrinks_go_elsewhere() {
     let (w1, w2) = (worker("w1", "r1"), worker("w2", "r2"));
-    let mut sim = SchedulerSim::open(unguarded(), vec![w1.clone(), w2]);
+    let mut sim = SchedulerSim::open(without_admission_check(), vec![w1.clone(), w2]);
     sim.is_lane_held = true;
     let id = sim.submit(1, job(vec![step(8)]));
-    let full = sim.scheduled_on("w1").max(sim.scheduled_on("w2"));
-    assert_eq!(full, 8, "all go to one worker");
-    let place: Arc<str> = if sim.scheduled_on("w1") == 8 { "w1".into() } else { "w2".into() };
-    sim.report(with_cores(&worker(&place, "r1"), 3));
+    let placed = sim.scheduled_on("w1").max(sim.scheduled_on("w2"));
+    assert_eq!(placed, 8, "all go to one worker");
+    let host: Arc<str> = if sim.scheduled_on("w1") == 8 { "w1".into() } else { "w2".into() };
+    sim.report(with_cores(&worker(&host, "r1"), 3));
     sim.empty_lanes();
     sim.is_lane_held = false;
     sim.advance(2_000);
 
-    assert!(cores_used(&sim, &place) <= 3, "{} cores", cores_used(&sim, &place));
+    assert!(cores_used(&sim, &host) <= 3, "{} cores", cores_used(&sim, &host));
     let alive = |index| sim.alive(task(id, 0, index));
     assert!((0..8).all(|index| alive(index) == 1), "each runs once");
 }
@@ -74,23 +74,23 @@
 /// Starts had no answer, and the worker says that it has less room before they are sent again. Sent again, they
 /// bring it over its room. They are stopped there for good, and run elsewhere, once.
 #[test]
-fn starts_in_doubt_are_not_repeated_into_a_room_that_shrank() {
+fn starts_in_doubt_are_not_repeated_on_a_worker_that_shrank() {
     let (w1, w2) = (worker("w1", "r1"), worker("w2", "r2"));
-    let mut sim = SchedulerSim::open(unguarded(), vec![w1, w2]);
+    let mut sim = SchedulerSim::open(without_admission_check(), vec![w1, w2]);
     for name in ["w1", "w2"] {
         sim.workers.get_mut(name).expect("known").is_late = true;
     }
     let id = sim.submit(1, job(vec![step(4)]));
-    let place: Arc<str> = if sim.scheduled_on("w1") > 0 { "w1".into() } else { "w2".into() };
-    sim.report(with_cores(&worker(&place, "r1"), 1));
+    let host: Arc<str> = if sim.scheduled_on("w1") > 0 { "w1".into() } else { "w2".into() };
+    sim.report(with_cores(&worker(&host, "r1"), 1));
     for name in ["w1", "w2"] {
         sim.workers.get_mut(name).expect("known").is_late = false;
     }
     for step in 0..100 {
         sim.advance(20);
-        assert!(cores_used(&sim, &place) <= 1, "{} cores", cores_used(&sim, &place));
+        assert!(cores_used(&sim, &host) <= 1, "{} cores", cores_used(&sim, &host));
         if step == 50 {
-            sim.deliver_late(&place);
+            sim.deliver_late(&host);
         }
     }
     let alive = |index| sim.alive(task(id, 0, index));
@@ -101,8 +101,8 @@
 /// the log that keeps it is away. A room may have shrunk meanwhile. Workers that guard nothing get no start until
 /// it is read again; those that refuse what does not fit go on.
 #[test]
-fn rooms_that_nobody_has_read_for_seconds_take_no_start_without_a_guard() {
-    for (config, has_admission_check) in [(unguarded(), false), (config(), true)] {
+fn stale_capacities_allow_no_start_without_an_admission_check() {
+    for (config, has_admission_check) in [(without_admission_check(), false), (config(), true)] {
         let mut sim = SchedulerSim::open(config, vec![worker("w1", "r1")]);
         sim.is_reading_workers = false;
         sim.advance(5_000);
@@ -117,9 +117,9 @@
 
 /// What is being stopped still takes room until its end is listed, also in a room that shrank meanwhile.
 #[test]
-fn what_is_being_stopped_counts_in_a_room_that_shrank() {
+fn runs_being_stopped_count_on_a_worker_that_shrank() {
     let w1 = worker("w1", "r1");
-    let mut sim = SchedulerSim::open(unguarded(), vec![w1.clone()]);
+    let mut sim = SchedulerSim::open(without_admission_check(), vec![w1.clone()]);
     sim.workers.get_mut("w1").expect("known").stop_ms = 300;
     let first = sim.submit(1, job(vec![step(4)]));
     sim.advance(100);
--- a/tests/scheduler_caps.rs
+++ b/tests/scheduler_caps.rs
@@ -37,7 +37,7 @@
     (0..count).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect()
 }
 
-fn hand_in(sim: &mut SchedulerSim, id: u64, organisation: Option<&str>, spec: JobSpec) -> JobId {
+fn submit_job(sim: &mut SchedulerSim, id: u64, organisation: Option<&str>, spec: JobSpec) -> JobId {
     let organisation = organisation.map(Arc::from);
     let submitted = JobSubmission { organisation, ..submission(spec) };
     sim.append(&JobRecord::Submitted(job_id(id), Arc::new(submitted)));
@@ -58,9 +58,9 @@
 #[test]
 fn an_organisation_at_its_cap_holds_back_nobody_else() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 4_000), ("west", 0)]), workers(4));
-    let east = hand_in(&mut sim, 1, Some("east"), job(vec![step(10)]));
-    let west = hand_in(&mut sim, 2, Some("west"), job(vec![step(6)]));
-    let open = hand_in(&mut sim, 3, None, job(vec![step(6)]));
+    let east = submit_job(&mut sim, 1, Some("east"), job(vec![step(10)]));
+    let west = submit_job(&mut sim, 2, Some("west"), job(vec![step(6)]));
+    let open = submit_job(&mut sim, 3, None, job(vec![step(6)]));
     assert_eq!((running(&sim, east), running(&sim, west), running(&sim, open)), (4, 6, 6));
     for index in 0..4 {
         sim.end(task(east, 0, index), ExitKind::Done);
@@ -74,7 +74,7 @@
 fn a_task_that_is_larger_than_the_cap_runs_alone() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 2_000)]), workers(2));
     let large = StepSpec { need: cpu(5_000), ..step(2) };
-    let id = hand_in(&mut sim, 1, Some("east"), job(vec![large]));
+    let id = submit_job(&mut sim, 1, Some("east"), job(vec![large]));
     assert_eq!(running(&sim, id), 1);
     sim.end(task(id, 0, 0), ExitKind::Done);
     sim.advance(100);
@@ -83,9 +83,9 @@
 
 /// The cap falls far below what runs. Nothing is stopped, and nothing starts until what runs is below it.
 #[test]
-fn a_cap_that_falls_holds_starts_back_until_enough_has_ended() {
+fn a_lowered_cap_holds_back_starts_until_enough_runs_have_ended() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 8_000)]), workers(4));
-    let id = hand_in(&mut sim, 1, Some("east"), job(vec![step(20)]));
+    let id = submit_job(&mut sim, 1, Some("east"), job(vec![step(20)]));
     assert_eq!(running(&sim, id), 8);
     sim.scheduler.set_config(Arc::new(capped(2, &[("east", 3_000)])));
     sim.advance(500);
@@ -101,9 +101,9 @@
 
 /// An organisation leaves the configuration while its jobs wait and run: they go on under its last cap.
 #[test]
-fn jobs_of_an_organisation_that_is_gone_go_on_under_its_last_cap() {
+fn jobs_of_a_removed_organisation_go_on_under_its_last_cap() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 2_000)]), workers(2));
-    let id = hand_in(&mut sim, 1, Some("east"), job(vec![step(4)]));
+    let id = submit_job(&mut sim, 1, Some("east"), job(vec![step(4)]));
     sim.scheduler.set_config(Arc::new(capped(2, &[])));
     for index in 0..4 {
         sim.advance(100);
@@ -117,21 +117,21 @@
 /// A new leader takes over with runs that it can't reach: on a worker that is silent, and starts in doubt on another.
 /// They count until they are known to be over.
 #[test]
-fn runs_in_doubt_count_over_a_change_of_leaders() {
+fn runs_in_doubt_count_across_a_change_of_leaders() {
     let config = capped(1, &[("east", 4_000)]);
     let mut sim = SchedulerSim::open(config.clone(), workers(3));
-    let id = hand_in(&mut sim, 1, Some("east"), job(vec![step(2)]));
+    let id = submit_job(&mut sim, 1, Some("east"), job(vec![step(2)]));
     let place = sim.place(task(id, 0, 0));
     sim.workers.get_mut(&place).expect("known").is_silent = true;
     for worker in sim.workers.values_mut() {
         worker.is_late = true;
     }
-    let late = hand_in(&mut sim, 2, Some("east"), job(vec![step(2)]));
+    let late = submit_job(&mut sim, 2, Some("east"), job(vec![step(2)]));
     for worker in sim.workers.values_mut() {
         worker.is_late = false;
     }
     sim.take_over(2, config);
-    let next = hand_in(&mut sim, 3, Some("east"), job(vec![step(4)]));
+    let next = submit_job(&mut sim, 3, Some("east"), job(vec![step(4)]));
     sim.advance(200);
     let counted = running(&sim, id) + running(&sim, late) + running(&sim, next);
     assert!(counted <= 4, "{counted} tasks run");
@@ -139,15 +139,15 @@
 
 /// Copies of tasks, services, later steps and gangs all count.
 #[test]
-fn every_kind_of_run_counts() {
+fn every_kind_of_run_counts_against_the_cap() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 6_000)]), workers(4));
-    let lasting = hand_in(&mut sim, 1, Some("east"), job(vec![service_step(3)]));
-    assert_eq!(running(&sim, lasting), 3);
+    let service = submit_job(&mut sim, 1, Some("east"), job(vec![service_step(3)]));
+    assert_eq!(running(&sim, service), 3);
     let gang = StepSpec { is_gang: true, ..step(4) };
-    let gang = hand_in(&mut sim, 2, Some("east"), job(vec![gang]));
+    let gang = submit_job(&mut sim, 2, Some("east"), job(vec![gang]));
     assert_eq!(running(&sim, gang), 0, "four are not left");
     let later = StepSpec { after: vec![0], ..step(5) };
-    let chain = hand_in(&mut sim, 3, Some("east"), job(vec![step(1), later]));
+    let chain = submit_job(&mut sim, 3, Some("east"), job(vec![step(1), later]));
     sim.end(task(chain, 0, 0), ExitKind::Done);
     sim.advance(100);
     assert_eq!(running(&sim, chain), 3);
@@ -156,29 +156,36 @@
 /// An organisation sends far more than its share into a full pool, jobs of less work than everybody's. Those of the
 /// others begin first as room comes; what is beyond a share runs where room is left, and no VM is called for it.
 #[test]
-fn what_goes_beyond_a_share_costs_the_others_nothing() {
+fn jobs_beyond_a_share_do_not_delay_the_others() {
     let mut config = capped(1, &[("east", 0), ("west", 0)]);
     let access = config.access.take().expect("organisations");
     let shared = access.iter().map(|spec| OrganisationSpec { weight: 2.0, ..spec.clone() });
     config.access = Some(AccessTable::from(shared.collect::<Vec<_>>()));
     let mut sim = SchedulerSim::open(config, workers(1));
-    let busy = hand_in(&mut sim, 1, None, job(vec![step(8)]));
-    let flood: Vec<JobId> =
-        (10..18).map(|id| hand_in(&mut sim, id, Some("east"), job(vec![step(1)]))).collect();
+    let busy = submit_job(&mut sim, 1, None, job(vec![step(8)]));
+    let beyond_share: Vec<JobId> =
+        (10..18).map(|id| submit_job(&mut sim, id, Some("east"), job(vec![step(1)]))).collect();
     let west: Vec<JobId> =
-        (20..22).map(|id| hand_in(&mut sim, id, Some("west"), job(vec![step(2)]))).collect();
+        (20..22).map(|id| submit_job(&mut sim, id, Some("west"), job(vec![step(2)]))).collect();
     for index in 0..6 {
         sim.end(task(busy, 0, index), ExitKind::Done);
     }
     sim.advance(100);
-    let begun = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
-    assert_eq!((begun(&flood[..2]), begun(&west), begun(&flood[2..])), (2, 4, 0));
+    let running_in_all = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
+    assert_eq!(
+        (
+            running_in_all(&beyond_share[..2]),
+            running_in_all(&west),
+            running_in_all(&beyond_share[2..])
+        ),
+        (2, 4, 0)
+    );
     for index in 6..8 {
         sim.end(task(busy, 0, index), ExitKind::Done);
     }
     sim.advance(100);
-    let begun = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
-    assert_eq!(begun(&flood[2..]), 2);
+    let running_in_all = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
+    assert_eq!(running_in_all(&beyond_share[2..]), 2);
 }
 
 /// Random days: organisations with caps that rise and fall, pools in which all is full or nothing, tasks that end,
@@ -186,54 +193,64 @@
 /// does an organisation have more running than its highest cap of late and one task; and none that is under half
 /// of its cap waits beside free room for three seconds.
 #[test]
-fn random_days_keep_the_caps_and_starve_nobody() {
+fn random_runs_keep_the_caps_and_starve_nobody() {
     let first: u64 =
         std::env::var("IBISWEIR_TEST_SEED").map_or(1, |text| text.parse().expect("a number"));
     let runs: u64 =
         std::env::var("IBISWEIR_TEST_RUNS").map_or(12, |text| text.parse().expect("a number"));
     for seed in first..first + runs {
-        Day::open(seed).run();
+        CapModel::open(seed).run();
     }
 }
 
-const NAMES: [&str; 3] = ["east", "west", "north"];
+const ORGANISATIONS: [&str; 3] = ["east", "west", "north"];
 
-struct Day {
+struct CapModel {
     seed: u64,
     random: StdRng,
     sim: SchedulerSim,
     term: u64,
     version: u64,
     caps: BTreeMap<&'static str, u64>,
-    owners: BTreeMap<JobId, (&'static str, u64)>,
+    job_owners: BTreeMap<JobId, (&'static str, u64)>,
     /// Since when an organisation waits beside room, in steps.
-    waits: BTreeMap<&'static str, u32>,
+    waiting_steps: BTreeMap<&'static str, u32>,
     /// Steps since the last trouble.
-    calm: u32,
+    steps_since_fault: u32,
 }
 
-impl Day {
-    fn open(seed: u64) -> Day {
+impl CapModel {
+    fn open(seed: u64) -> CapModel {
         let mut random = StdRng::seed_from_u64(seed);
         let caps: BTreeMap<_, _> =
-            NAMES.iter().map(|name| (*name, random.random_range(2..12) * 1_000)).collect();
+            ORGANISATIONS.iter().map(|name| (*name, random.random_range(2..12) * 1_000)).collect();
         let size = random.random_range(2..6);
         let sim = SchedulerSim::open(config_of(1, &caps), workers(size));
-        let (owners, waits) = (BTreeMap::new(), BTreeMap::new());
-        Day { seed, random, sim, term: 1, version: 1, caps, owners, waits, calm: 0 }
+        let (job_owners, waiting_steps) = (BTreeMap::new(), BTreeMap::new());
+        CapModel {
+            seed,
+            random,
+            sim,
+            term: 1,
+            version: 1,
+            caps,
+            job_owners,
+            waiting_steps,
+            steps_since_fault: 0,
+        }
     }
 
     fn run(&mut self) {
         for _ in 0..300 {
-            self.act();
+            self.act_randomly();
             self.sim.advance(100);
-            self.end_some();
+            self.end_random_runs();
             self.check();
         }
     }
 
-    fn act(&mut self) {
-        self.calm += 1;
+    fn act_randomly(&mut self) {
+        self.steps_since_fault += 1;
         if self.random.random_bool(0.5) {
             self.submit();
         }
@@ -254,22 +271,22 @@
             8 => self.change_cap(),
             _ => return,
         }
-        self.calm = 0;
+        self.steps_since_fault = 0;
     }
 
     fn submit(&mut self) {
-        let owner = NAMES[self.random.random_range(0..NAMES.len())];
+        let owner = ORGANISATIONS[self.random.random_range(0..ORGANISATIONS.len())];
         let need = self.random.random_range(1..5) * 500;
         let count = self.random.random_range(1..8);
         let mut spec = StepSpec { need: cpu(need), ..step(count) };
         spec.allows_copies = self.random.random_bool(0.2);
-        let number = u64::try_from(self.owners.len()).expect("few") + 1;
-        let id = hand_in(&mut self.sim, number, Some(owner), job(vec![spec]));
-        self.owners.insert(id, (owner, need));
+        let number = u64::try_from(self.job_owners.len()).expect("few") + 1;
+        let id = submit_job(&mut self.sim, number, Some(owner), job(vec![spec]));
+        self.job_owners.insert(id, (owner, need));
     }
 
     fn change_cap(&mut self) {
-        let name = NAMES[self.random.random_range(0..NAMES.len())];
+        let name = ORGANISATIONS[self.random.random_range(0..ORGANISATIONS.len())];
         let cap = self.random.random_range(1..12) * 1_000;
         // Caps only rise here while the sum that is checked may be over them.
         self.caps.insert(name, cap.max(self.used(name)));
@@ -278,7 +295,7 @@
         self.sim.scheduler.set_config(Arc::new(config));
     }
 
-    fn end_some(&mut self) {
+    fn end_random_runs(&mut self) {
         for worker in self.sim.workers.values_mut().filter(|worker| !worker.is_silent) {
             let runs: Vec<(TaskKey, u32)> = worker.running.keys().copied().collect();
             for (key, run) in runs {
@@ -292,38 +309,39 @@
     /// What runs of an organisation, wherever it is.
     fn used(&self, name: &str) -> u64 {
         let runs = self.sim.workers.values().flat_map(|worker| worker.running.keys());
-        let needs = runs.filter_map(|(key, _)| self.owners.get(&key.job));
+        let needs = runs.filter_map(|(key, _)| self.job_owners.get(&key.job));
         needs.filter(|(owner, _)| *owner == name).map(|(_, need)| need).sum()
     }
 
     fn check(&mut self) {
-        for name in NAMES {
+        for name in ORGANISATIONS {
             let (used, cap) = (self.used(name), self.caps[name]);
             let largest = 2_000;
             assert!(used <= cap + largest, "seed {}: {name} has {used} of {cap}", self.seed);
             let is_starved = self.is_starved(name, used, cap);
-            let waits = self.waits.entry(name).or_default();
-            *waits = if is_starved { *waits + 1 } else { 0 };
-            assert!(*waits < 30, "seed {}: {name} waits beside room", self.seed);
+            let waiting_steps = self.waiting_steps.entry(name).or_default();
+            *waiting_steps = if is_starved { *waiting_steps + 1 } else { 0 };
+            assert!(*waiting_steps < 30, "seed {}: {name} waits beside room", self.seed);
         }
     }
 
     /// Nothing of a job runs while its organisation is under half of its cap and there is room for it twice.
     fn is_starved(&self, name: &str, used: u64, cap: u64) -> bool {
-        if self.calm < 40 || !self.sim.is_log_up || used * 2 >= cap {
+        if self.steps_since_fault < 40 || !self.sim.is_log_up || used * 2 >= cap {
             return false;
         }
         let free = |worker: &support::sim::SimWorker| {
-            let runs = worker.running.keys().filter_map(|(key, _)| self.owners.get(&key.job));
+            let runs = worker.running.keys().filter_map(|(key, _)| self.job_owners.get(&key.job));
             8_000_u64.saturating_sub(runs.map(|(_, need)| need).sum::<u64>())
         };
-        let is_well = self.sim.workers.values().all(|worker| !worker.is_silent && !worker.is_late);
-        let rooms: Vec<u64> = self.sim.workers.values().map(free).collect();
-        is_well
-            && self.owners.iter().any(|(id, (owner, need))| {
-                let places: u64 = rooms.iter().map(|room| room / need).sum();
+        let has_no_fault =
+            self.sim.workers.values().all(|worker| !worker.is_silent && !worker.is_late);
+        let free_cores: Vec<u64> = self.sim.workers.values().map(free).collect();
+        has_no_fault
+            && self.job_owners.iter().any(|(id, (owner, need))| {
+                let fitting: u64 = free_cores.iter().map(|free| free / need).sum();
                 let is_open = self.sim.state(*id).is_some_and(|state| !state.is_final());
-                *owner == name && is_open && running(&self.sim, *id) == 0 && places >= 2
+                *owner == name && is_open && running(&self.sim, *id) == 0 && fitting >= 2
             })
     }
 }
--- a/tests/scheduler_model.rs
+++ b/tests/scheduler_model.rs
@@ -27,17 +27,17 @@
 const STEPS: usize = 120;
 const WORKERS: usize = 5;
 
-struct Model {
+struct SchedulerModel {
     sim: SchedulerSim,
     random: StdRng,
     jobs: BTreeMap<JobId, JobSpec>,
     cancelled: BTreeSet<JobId>,
     /// Tasks whose end as done the log has.
-    recorded: BTreeSet<TaskKey>,
+    logged_done: BTreeSet<TaskKey>,
     /// Tasks that a worker has ended as done.
     done: BTreeSet<TaskKey>,
     /// Jobs whose last state was told; their keys are dropped some minutes later.
-    over: BTreeSet<JobId>,
+    finished: BTreeSet<JobId>,
     checked_starts: usize,
     term: u64,
     next_job: u64,
@@ -50,27 +50,27 @@
     config
 }
 
-impl Model {
-    fn open(seed: u64) -> Model {
+impl SchedulerModel {
+    fn open(seed: u64) -> SchedulerModel {
         let pool = (0..WORKERS).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 2))).collect();
-        Model {
+        SchedulerModel {
             sim: SchedulerSim::open(one_pool(), pool),
             random: StdRng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
             cancelled: BTreeSet::new(),
-            recorded: BTreeSet::new(),
+            logged_done: BTreeSet::new(),
             done: BTreeSet::new(),
-            over: BTreeSet::new(),
+            finished: BTreeSet::new(),
             checked_starts: 0,
             term: 1,
             next_job: 0,
         }
     }
 
-    fn act(&mut self) {
+    fn step_randomly(&mut self) {
         match self.random.random_range(0..100) {
             0..20 => self.submit(),
-            20..60 => self.end_some(),
+            20..60 => self.end_random_run(),
             60..64 => self.cancel(),
             64..68 => self.repeat_submission(),
             68..74 => self.toggle_silence(),
@@ -122,7 +122,7 @@
     }
 
     /// Ends one of the runs that are alive, most of them well.
-    fn end_some(&mut self) {
+    fn end_random_run(&mut self) {
         let alive = self.alive();
         if alive.is_empty() {
             return;
@@ -227,9 +227,9 @@
         for (task, count) in alive {
             assert!(count <= 1, "{task} runs {count} times at once");
         }
-        self.record_done();
-        let is_over = |id: &&JobId| self.sim.state(**id).is_some_and(JobState::is_final);
-        self.over.extend(self.jobs.keys().filter(is_over));
+        self.collect_logged_done();
+        let is_finished = |id: &&JobId| self.sim.state(**id).is_some_and(JobState::is_final);
+        self.finished.extend(self.jobs.keys().filter(is_finished));
     }
 
     /// Looks at the starts since the last check.
@@ -237,8 +237,8 @@
         for (task, run, worker) in &self.sim.started[self.checked_starts..] {
             // A start that was under way when an earlier run, taken for lapsed, turned out to be done.
             let is_late = self.sim.started_late.contains(&(*task, *run));
-            let is_again = self.recorded.contains(task) && !is_late;
-            assert!(!is_again, "{task} run {run} on {worker} after its end");
+            let is_repeated = self.logged_done.contains(task) && !is_late;
+            assert!(!is_repeated, "{task} run {run} on {worker} after its end");
             let spec = &self.jobs[&task.job];
             for before in &spec.steps[usize::from(task.step)].after {
                 for index in 0..spec.steps[usize::from(*before)].count {
@@ -250,14 +250,14 @@
         self.checked_starts = self.sim.started.len();
     }
 
-    fn record_done(&mut self) {
+    fn collect_logged_done(&mut self) {
         for id in self.jobs.keys() {
             let Some(progress) = self.sim.book.get(*id).and_then(|job| job.progress.clone()) else {
                 continue;
             };
-            for told in progress.tasks.iter().filter(|told| told.is_done) {
-                let (step, index) = (told.step, told.index);
-                self.recorded.insert(TaskKey { job: *id, occurrence: 0, step, index });
+            for logged in progress.tasks.iter().filter(|logged| logged.is_done) {
+                let (step, index) = (logged.step, logged.index);
+                self.logged_done.insert(TaskKey { job: *id, occurrence: 0, step, index });
             }
         }
     }
@@ -273,16 +273,16 @@
         }
         self.cancel_services();
         for _ in 0..4_000 {
-            self.end_well();
+            self.end_all();
             self.sim.advance(100);
             self.check();
             if self.open_jobs() == 0 {
                 return;
             }
         }
-        let open: Vec<_> = self.jobs.iter().filter(|(id, _)| !self.over.contains(id)).collect();
-        let told: Vec<_> = open.iter().map(|(id, _)| self.sim.book.get(**id)).collect();
-        panic!("these never end: {open:#?} {told:#?}");
+        let open: Vec<_> = self.jobs.iter().filter(|(id, _)| !self.finished.contains(id)).collect();
+        let logged: Vec<_> = open.iter().map(|(id, _)| self.sim.book.get(**id)).collect();
+        panic!("these never end: {open:#?} {logged:#?}");
     }
 
     /// Callers take their services back, so that there is room for the rest.
@@ -296,7 +296,7 @@
         }
     }
 
-    fn end_well(&mut self) {
+    fn end_all(&mut self) {
         let alive = self.alive();
         for (id, task, run) in alive {
             let spec = &self.jobs[&task.job].steps[usize::from(task.step)];
@@ -315,7 +315,7 @@
 
     fn open_jobs(&self) -> usize {
         let is_service = |spec: &JobSpec| spec.steps.iter().any(|step| step.is_service);
-        let is_open = |id: &JobId| !self.over.contains(id);
+        let is_open = |id: &JobId| !self.finished.contains(id);
         self.jobs.iter().filter(|(id, spec)| !is_service(spec) && is_open(id)).count()
     }
 }
@@ -328,13 +328,13 @@
     let first: u64 = number("IBISWEIR_TEST_SEED", 1);
     for seed in first..first + number("IBISWEIR_TEST_RUNS", RUNS) {
         let run = std::panic::AssertUnwindSafe(|| {
-            let mut model = Model::open(seed);
+            let mut model = SchedulerModel::open(seed);
             for _ in 0..STEPS {
-                model.act();
+                model.step_randomly();
             }
             model.heal();
             for id in &model.cancelled {
-                assert!(model.over.contains(id), "{id} was cancelled and goes on");
+                assert!(model.finished.contains(id), "{id} was cancelled and goes on");
             }
         });
         if let Err(fault) = std::panic::catch_unwind(run) {
@@ -346,7 +346,7 @@
 
 /// The VM list names every worker of the stage.
 #[test]
-fn a_crashed_worker_is_replaced_by_another_life() {
+fn a_crashed_worker_is_replaced_by_another_incarnation() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     sim.crash("w0");
     assert!(!sim.workers.contains_key("w0"));
--- a/tests/scheduler_queues.rs
+++ b/tests/scheduler_queues.rs
@@ -14,7 +14,7 @@
 /// Guards against an accepted job that never runs, as its queue was gone before its leader began and no configuration
 /// that the leader has read names it.
 #[test]
-fn a_job_of_a_queue_that_its_leader_never_knew_is_served() {
+fn a_job_of_a_queue_unknown_to_its_leader_is_served() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     sim.is_log_up = false;
     let id = sim.submit(1, job(vec![step(1)]));
@@ -28,7 +28,7 @@
 /// Guards against the same where the leader went on from an older configuration to a newer one than that by which another
 /// entry has accepted the job.
 #[test]
-fn a_job_of_a_queue_that_its_leader_has_skipped_is_served() {
+fn a_job_of_a_queue_in_a_skipped_configuration_is_served() {
     let mut sim = SchedulerSim::open(without_queue(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(1)]));
     sim.advance(500);
--- a/tests/scheduler_kinds.rs
+++ b/tests/scheduler_steps.rs
@@ -16,7 +16,7 @@
     submission, task, worker,
 };
 
-fn large(cpu: u64, count: u32) -> StepSpec {
+fn sized_step(cpu: u64, count: u32) -> StepSpec {
     StepSpec { need: ResourceVector { cpu, memory: 100, accelerators: 0 }, ..step(count) }
 }
 
@@ -25,7 +25,7 @@
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let gang = StepSpec { is_gang: true, ..large(5_000, 3) };
+    let gang = StepSpec { is_gang: true, ..sized_step(5_000, 3) };
     let id = sim.submit(1, job(vec![gang.clone()]));
     sim.advance(500);
     assert!(sim.started.is_empty(), "{:?}", sim.started);
@@ -43,7 +43,7 @@
 fn a_gang_that_wants_one_rack_is_placed_on_one() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2"), worker("w3", "r2")];
     let mut sim = SchedulerSim::open(config(), pool);
-    let gang = StepSpec { is_gang: true, wants_one_rack: true, ..large(5_000, 2) };
+    let gang = StepSpec { is_gang: true, wants_one_rack: true, ..sized_step(5_000, 2) };
     let id = sim.submit(1, job(vec![gang]));
     sim.advance(100);
     let mut places = vec![sim.place(task(id, 0, 0)), sim.place(task(id, 0, 1))];
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_required_label_and_the_bound_on_a_worker_hold() {
+fn a_required_label_and_the_per_worker_bound_hold() {
     let mut labelled = worker("w2", "r2");
     labelled.labels.insert(0, "fast".into());
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), labelled]);
@@ -71,7 +71,7 @@
 #[test]
 fn a_task_waits_for_the_rack_of_its_data_only_as_long_as_it_pays() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let near = |count| StepSpec { data_rack: Some("r1".to_owned()), ..large(8_000, count) };
+    let near = |count| StepSpec { data_rack: Some("r1".to_owned()), ..sized_step(8_000, count) };
     let first = sim.submit(1, job(vec![near(1)]));
     sim.advance(100);
     assert_eq!(&*sim.place(task(first, 0, 0)), "w1");
@@ -108,7 +108,7 @@
 /// A caller's schedule is a millisecond apart. Begun all at once its occurrences would fill the memory
 /// of the leader, and a record that no append takes would stop all commits.
 #[test]
-fn occurrences_that_come_too_fast_wait_for_those_before() {
+fn occurrences_that_come_too_fast_wait_for_earlier_ones() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let first_ms = WALL_OFFSET_MS + START_MS;
     let schedule = JobSchedule { occurrences: 100_000, first_ms, interval_ms: 1 };
@@ -142,12 +142,12 @@
     let id = sim.submit(1, job(vec![step(2)]));
     sim.advance(300);
     assert!(sim.started.is_empty());
-    let asked = sim.permits_asked.clone();
-    assert_eq!(asked.len(), 1, "one question for the whole step");
-    assert_eq!(asked[0].1.len(), 2);
+    let requested = sim.permits_asked.clone();
+    assert_eq!(requested.len(), 1, "one question for the whole step");
+    assert_eq!(requested[0].1.len(), 2);
     let allowed = vec![(Arc::from("w2"), Arc::from("permit-2"))];
     let grant = PermitGrant { allowed, valid_ms: 3_000 };
-    sim.scheduler.update_permits(asked[0].0, Some(grant), sim.now);
+    sim.scheduler.update_permits(requested[0].0, Some(grant), sim.now);
     sim.advance(200);
     for index in 0..2 {
         assert_eq!(&*sim.place(task(id, 0, index)), "w2");
@@ -158,7 +158,7 @@
 /// A best-effort task beside a service whose tail nears its target is slowed at once, and may go
 /// faster again when there is room.
 #[test]
-fn a_best_effort_task_is_slowed_when_a_tail_nears_its_target() {
+fn a_best_effort_task_is_slowed_when_a_tail_latency_nears_its_target() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let service = StepSpec { target_ms: 100, ..service_step(1) };
     let filler = StepSpec { is_best_effort: true, ..service_step(1) };
@@ -179,7 +179,7 @@
 /// Guards against a best-effort task that stands still for good, as a throttle without an answer was carried out after
 /// newer ones.
 #[test]
-fn a_throttle_that_may_come_late_is_overruled_again_and_again() {
+fn a_throttle_without_an_answer_is_overridden_repeatedly() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let service = StepSpec { target_ms: 100, ..service_step(1) };
     let filler = StepSpec { is_best_effort: true, ..service_step(1) };
@@ -195,15 +195,15 @@
     sim.advance(10_000);
     let last = |sim: &SchedulerSim| sim.throttles.last().expect("throttled").1;
     assert_eq!(last(&sim), 100);
-    let told = sim.throttles.len();
+    let sent = sim.throttles.len();
     sim.advance(10_000);
-    assert!(sim.throttles.len() > told, "a late one would stay in force");
+    assert!(sim.throttles.len() > sent, "a late one would stay in force");
     assert_eq!(last(&sim), 100);
 }
 
 /// Guards against a best-effort task that stays slowed for good, as the leader that slowed it is gone.
 #[test]
-fn a_successor_tells_shares_anew() {
+fn a_new_leader_sends_throttles_again() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let service = StepSpec { target_ms: 100, ..service_step(1) };
     let filler = StepSpec { is_best_effort: true, ..service_step(1) };
@@ -223,18 +223,18 @@
 /// The pool is full of batch work of a lower priority when a service needs a place. The least work is
 /// thrown away for it.
 #[test]
-fn a_service_displaces_work_of_lower_priority() {
+fn a_service_preempts_work_of_lower_priority() {
     let mut config = config();
     config.queues[0].priority = 1;
     let mut urgent = queue("urgent", POOL);
     urgent.priority = 0;
     config.queues.push(urgent);
     let mut sim = SchedulerSim::open(config, vec![worker("w1", "r1")]);
-    let batch = sim.submit(1, job(vec![large(4_000, 2)]));
+    let batch = sim.submit(1, job(vec![sized_step(4_000, 2)]));
     sim.progress(task(batch, 0, 0), 90, 100);
     sim.progress(task(batch, 0, 1), 10, 100);
-    let lasting = StepSpec { per_worker_max: 0, ..service_step(1) };
-    let mut submitted = submission(job(vec![lasting]));
+    let service = StepSpec { per_worker_max: 0, ..service_step(1) };
+    let mut submitted = submission(job(vec![service]));
     submitted.queue = "urgent".into();
     sim.append(&JobRecord::Submitted(job_id(2), Arc::new(submitted)));
     sim.advance(500);
@@ -245,7 +245,7 @@
 
 /// A task that fails on every worker uses its attempts up, and its job has failed; no start follows.
 #[test]
-fn a_task_that_always_fails_uses_its_attempts_up() {
+fn a_task_that_always_fails_uses_up_its_attempts() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
     let id = sim.submit(1, job(vec![step(1)]));
     for _ in 0..3 {
@@ -261,8 +261,8 @@
 /// the leader could commit nothing any more.
 #[test]
 fn a_job_whose_progress_could_not_be_stored_is_refused() {
-    let absurd = job(vec![step(1_500), step(1_500)]);
-    assert_eq!(absurd.check(), Err(SpecFault::TaskCount));
+    let oversized = job(vec![step(1_500), step(1_500)]);
+    assert_eq!(oversized.check(), Err(SpecFault::TaskCount));
     assert_eq!(job(vec![step(1_500)]).check(), Ok(()));
     let repeated = StepSpec { after: vec![0; 3], ..step(1) };
     assert_eq!(job(vec![step(1), repeated]).check(), Err(SpecFault::StepOrder));
--- a/tests/service_return.rs
+++ b/tests/service_recovery.rs
@@ -12,38 +12,39 @@
 use support::sim::{POOL, SchedulerSim, config, job, service_step, step, task, vm, worker};
 
 /// Longest time for which a service may be away, as is promised.
-const AWAY_MAX_MS: u64 = 9_000;
+const DOWN_MAX_MS: u64 = 9_000;
 
 /// Workers, and the services on them whose times away are measured.
-struct ReturnScene {
+struct RecoveryScenario {
     sim: SchedulerSim,
     pool: Vec<WorkerEntry>,
     services: Vec<TaskKey>,
     /// When each was last at work.
-    seen_ms: BTreeMap<TaskKey, u64>,
-    worst_ms: u64,
+    last_running_ms: BTreeMap<TaskKey, u64>,
+    longest_down_ms: u64,
 }
 
-impl ReturnScene {
-    fn open(workers: usize) -> ReturnScene {
-        ReturnScene::open_with(config(), workers)
+impl RecoveryScenario {
+    fn open(workers: usize) -> RecoveryScenario {
+        RecoveryScenario::open_with(config(), workers)
     }
 
     /// One whose idle VMs stay.
-    fn open_without_standby(workers: usize) -> ReturnScene {
+    fn open_without_standby(workers: usize) -> RecoveryScenario {
         let mut config = config();
         config.pools.retain(|pool| !pool.is_standby);
-        ReturnScene::open_with(config, workers)
+        RecoveryScenario::open_with(config, workers)
     }
 
-    fn open_with(config: SiteConfig, workers: usize) -> ReturnScene {
+    fn open_with(config: SiteConfig, workers: usize) -> RecoveryScenario {
         let name = |n: usize| worker(&format!("w{n}"), &format!("r{}", n / 4));
         let pool: Vec<WorkerEntry> = (0..workers).map(name).collect();
         let sim = SchedulerSim::open(config, pool.clone());
-        let (services, seen_ms) = (Vec::new(), BTreeMap::new());
-        let mut scene = ReturnScene { sim, pool, services, seen_ms, worst_ms: 0 };
-        scene.list_vms(&[]);
-        scene
+        let (services, last_running_ms) = (Vec::new(), BTreeMap::new());
+        let mut scenario =
+            RecoveryScenario { sim, pool, services, last_running_ms, longest_down_ms: 0 };
+        scenario.list_vms(&[]);
+        scenario
     }
 
     fn list_vms(&mut self, down: &[Arc<str>]) {
@@ -60,12 +61,12 @@
     }
 
     /// Hands in a service of so many tasks.
-    fn serve(&mut self, id: u64, spec: StepSpec) -> Vec<TaskKey> {
+    fn submit_service(&mut self, id: u64, spec: StepSpec) -> Vec<TaskKey> {
         let count = spec.count;
         let id = self.sim.submit(id, job(vec![spec]));
         let keys: Vec<TaskKey> = (0..count).map(|index| task(id, 0, index)).collect();
         self.services.extend(&keys);
-        self.seen_ms.extend(keys.iter().map(|key| (*key, self.sim.now)));
+        self.last_running_ms.extend(keys.iter().map(|key| (*key, self.sim.now)));
         keys
     }
 
@@ -101,9 +102,9 @@
                 let runs = self.sim.alive(*key);
                 assert!(runs <= 1, "{key} runs twice");
                 if runs == 1 {
-                    self.seen_ms.insert(*key, now);
+                    self.last_running_ms.insert(*key, now);
                 }
-                self.worst_ms = self.worst_ms.max(now - self.seen_ms[key]);
+                self.longest_down_ms = self.longest_down_ms.max(now - self.last_running_ms[key]);
             }
         }
     }
@@ -114,148 +115,166 @@
 }
 
 /// Tasks of a core that go on for ever.
-fn filling(count: u32) -> StepSpec {
+fn batch_step(count: u32) -> StepSpec {
     StepSpec { estimate_ms: 600_000, ..step(count) }
 }
 
 /// Services of a core that may stand beside each other.
-fn serving(count: u32) -> StepSpec {
+fn shared_service(count: u32) -> StepSpec {
     StepSpec { per_worker_max: 0, ..service_step(count) }
 }
 
 /// Four VMs of which two refuse what is started there for a second, while there is much to start.
-fn refuse_for_a_while(scene: &mut ReturnScene) {
-    let set = |scene: &mut ReturnScene, is_unhealthy| {
+fn refuse_starts_for_a_second(scenario: &mut RecoveryScenario) {
+    let set = |scenario: &mut RecoveryScenario, is_unhealthy| {
         for id in ["w0", "w1"] {
-            scene.sim.workers.get_mut(id).expect("known").is_unhealthy = is_unhealthy;
+            scenario.sim.workers.get_mut(id).expect("known").is_unhealthy = is_unhealthy;
         }
     };
-    set(scene, true);
+    set(scenario, true);
     let need = ResourceVector { cpu: 4_000, memory: 1_000, accelerators: 0 };
-    let batch = scene.sim.submit(1, job(vec![StepSpec { need, ..filling(6) }]));
-    scene.advance(1_000);
-    set(scene, false);
-    scene.cancel(batch);
+    let batch = scenario.sim.submit(1, job(vec![StepSpec { need, ..batch_step(6) }]));
+    scenario.advance(1_000);
+    set(scenario, false);
+    scenario.cancel(batch);
 }
 
 /// Guards against a VM that stays closed for good, as its first run after a time of errors is a service.
 #[test]
-fn a_vm_that_is_tried_with_a_service_takes_more_once_that_is_at_work() {
-    let mut scene = ReturnScene::open(4);
-    refuse_for_a_while(&mut scene);
-    scene.serve(2, service_step(4));
-    scene.advance(AWAY_MAX_MS);
-    scene.serve(3, service_step(4));
-    scene.advance(2 * AWAY_MAX_MS);
-    assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms", scene.worst_ms);
+fn a_vm_tried_with_a_service_takes_more_once_it_is_serving() {
+    let mut scenario = RecoveryScenario::open(4);
+    refuse_starts_for_a_second(&mut scenario);
+    scenario.submit_service(2, service_step(4));
+    scenario.advance(DOWN_MAX_MS);
+    scenario.submit_service(3, service_step(4));
+    scenario.advance(2 * DOWN_MAX_MS);
+    assert!(scenario.longest_down_ms <= DOWN_MAX_MS, "{} ms", scenario.longest_down_ms);
 }
 
 /// Guards against a VM that stays closed for good after a time of errors, as a service stands there.
 #[test]
 fn a_vm_with_a_service_is_tried_again_after_errors() {
-    let mut scene = ReturnScene::open(4);
-    scene.serve(2, service_step(4));
-    scene.advance(2_000);
-    refuse_for_a_while(&mut scene);
-    scene.serve(3, service_step(4));
-    scene.advance(2 * AWAY_MAX_MS);
-    assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms", scene.worst_ms);
+    let mut scenario = RecoveryScenario::open(4);
+    scenario.submit_service(2, service_step(4));
+    scenario.advance(2_000);
+    refuse_starts_for_a_second(&mut scenario);
+    scenario.submit_service(3, service_step(4));
+    scenario.advance(2 * DOWN_MAX_MS);
+    assert!(scenario.longest_down_ms <= DOWN_MAX_MS, "{} ms", scenario.longest_down_ms);
 }
 
 /// Guards against a service whose start waits for good on a worker that answers and is not listed any more.
 #[test]
 fn a_start_goes_elsewhere_once_its_worker_is_not_listed() {
     for is_sent in [false, true] {
-        let mut scene = ReturnScene::open_without_standby(3);
-        let key = scene.serve(2, serving(1))[0];
-        scene.advance(1_000);
-        let lost = scene.sim.place(key);
-        scene.sim.is_lane_held = !is_sent;
-        scene.sim.workers.values_mut().for_each(|worker| worker.is_late = is_sent);
-        scene.power_off(&[lost]);
-        scene.advance(300);
-        let placed = scene.sim.events.iter().rev().find_map(|note| match note {
+        let mut scenario = RecoveryScenario::open_without_standby(3);
+        let key = scenario.submit_service(2, shared_service(1))[0];
+        scenario.advance(1_000);
+        let lost = scenario.sim.place(key);
+        scenario.sim.is_lane_held = !is_sent;
+        scenario.sim.workers.values_mut().for_each(|worker| worker.is_late = is_sent);
+        scenario.power_off(&[lost]);
+        scenario.advance(300);
+        let placed = scenario.sim.events.iter().rev().find_map(|event| match event {
             SchedulerEvent::Placed { worker, .. } => Some(worker.clone()),
             _ => None,
         });
-        scene.sim.scheduler.worker_unlisted(&placed.expect("it was placed"), scene.sim.now);
-        scene.sim.is_lane_held = false;
-        scene.sim.workers.values_mut().for_each(|worker| worker.is_late = false);
-        scene.sim.empty_lanes();
-        scene.advance(2 * AWAY_MAX_MS);
-        assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms, sent: {is_sent}", scene.worst_ms);
+        scenario.sim.scheduler.worker_unlisted(&placed.expect("it was placed"), scenario.sim.now);
+        scenario.sim.is_lane_held = false;
+        scenario.sim.workers.values_mut().for_each(|worker| worker.is_late = false);
+        scenario.sim.empty_lanes();
+        scenario.advance(2 * DOWN_MAX_MS);
+        assert!(
+            scenario.longest_down_ms <= DOWN_MAX_MS,
+            "{} ms, sent: {is_sent}",
+            scenario.longest_down_ms
+        );
     }
 }
 
 /// Guards against services that are lost together and get room one after the other, each after the stop of what
 /// it displaces.
 #[test]
-fn services_that_are_lost_together_displace_others_together() {
+fn services_that_are_lost_together_preempt_others_together() {
     for steps in [1, 64] {
-        let mut scene = ReturnScene::open(20);
-        scene.sim.workers.values_mut().for_each(|worker| worker.stop_ms = 200);
+        let mut scenario = RecoveryScenario::open(20);
+        scenario.sim.workers.values_mut().for_each(|worker| worker.stop_ms = 200);
         for id in 0..steps {
-            scene.serve(100 + id, serving(64 / u32::try_from(steps).expect("few")));
+            scenario
+                .submit_service(100 + id, shared_service(64 / u32::try_from(steps).expect("few")));
         }
-        scene.sim.submit(1, job(vec![filling(160)]));
-        scene.advance(2_000);
-        let hosts = scene.hosts();
+        scenario.sim.submit(1, job(vec![batch_step(160)]));
+        scenario.advance(2_000);
+        let hosts = scenario.hosts();
         assert_eq!(hosts.len(), 8, "there is room for all of them elsewhere");
-        scene.power_off(&hosts);
-        scene.advance(2 * AWAY_MAX_MS);
-        assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms, {steps} steps", scene.worst_ms);
+        scenario.power_off(&hosts);
+        scenario.advance(2 * DOWN_MAX_MS);
+        assert!(
+            scenario.longest_down_ms <= DOWN_MAX_MS,
+            "{} ms, {steps} steps",
+            scenario.longest_down_ms
+        );
     }
 }
 
 /// Guards against a service that waits for the room of a run whose stops are lost, while others could make room.
 #[test]
-fn a_service_displaces_others_where_stops_are_lost() {
-    for lossy in [1, 4] {
-        let mut scene = ReturnScene::open(6);
-        scene.serve(2, serving(2));
-        scene.sim.submit(1, job(vec![filling(48)]));
-        scene.advance(2_000);
-        let hosts = scene.hosts();
+fn a_service_preempts_others_where_stops_are_lost() {
+    for losing_stops in [1, 4] {
+        let mut scenario = RecoveryScenario::open(6);
+        scenario.submit_service(2, shared_service(2));
+        scenario.sim.submit(1, job(vec![batch_step(48)]));
+        scenario.advance(2_000);
+        let hosts = scenario.hosts();
         let is_other = |(id, _): &(&Arc<str>, _)| !hosts.contains(id);
-        let others = scene.sim.workers.iter_mut().filter(is_other).take(lossy);
+        let others = scenario.sim.workers.iter_mut().filter(is_other).take(losing_stops);
         others.for_each(|(_, worker)| worker.are_stops_lost = true);
-        scene.power_off(&hosts);
-        scene.advance(2 * AWAY_MAX_MS);
-        assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms, {lossy} of 5", scene.worst_ms);
+        scenario.power_off(&hosts);
+        scenario.advance(2 * DOWN_MAX_MS);
+        assert!(
+            scenario.longest_down_ms <= DOWN_MAX_MS,
+            "{} ms, {losing_stops} of 5",
+            scenario.longest_down_ms
+        );
     }
 }
 
 /// Guards against a service that is refused by the same few workers in turn, while others have room.
 #[test]
-fn a_service_that_some_workers_refuse_finds_one_with_room() {
+fn a_service_that_some_workers_refuse_finds_one_with_capacity() {
     for refusing in [2, 6, 20] {
-        let mut scene = ReturnScene::open_without_standby(2 * refusing);
+        let mut scenario = RecoveryScenario::open_without_standby(2 * refusing);
         let count = u32::try_from(refusing).expect("few");
-        scene.serve(2, service_step(count + 1));
-        let keys = scene.serve(3, serving(2));
-        scene.advance(2_000);
-        let lost = scene.sim.place(keys[0]);
-        for id in scene.hosts().iter().filter(|id| **id != lost) {
-            scene.sim.workers.get_mut(id).expect("known").is_full = true;
+        scenario.submit_service(2, service_step(count + 1));
+        let keys = scenario.submit_service(3, shared_service(2));
+        scenario.advance(2_000);
+        let lost = scenario.sim.place(keys[0]);
+        for id in scenario.hosts().iter().filter(|id| **id != lost) {
+            scenario.sim.workers.get_mut(id).expect("known").is_full = true;
         }
-        scene.power_off(&[lost]);
-        scene.advance(2 * AWAY_MAX_MS);
-        assert!(scene.worst_ms <= AWAY_MAX_MS, "{} ms, {refusing} refuse", scene.worst_ms);
+        scenario.power_off(&[lost]);
+        scenario.advance(2 * DOWN_MAX_MS);
+        assert!(
+            scenario.longest_down_ms <= DOWN_MAX_MS,
+            "{} ms, {refusing} refuse",
+            scenario.longest_down_ms
+        );
     }
 }
 
 /// Guards against room that is kept for a service which does not go there, as it waits for room beside its data.
 #[test]
-fn room_that_a_service_does_not_take_is_left_to_others() {
+fn capacity_that_a_service_does_not_take_is_left_to_others() {
     let pool = [("w1", "r1"), ("w2", "r2")].map(|(name, rack)| worker(name, rack));
     let mut sim = SchedulerSim::open(config(), pool.into());
-    let near = StepSpec { data_rack: Some("r1".into()), estimate_ms: 60_000, ..serving(8) };
-    sim.submit(1, job(vec![near.clone()]));
+    let near_data =
+        StepSpec { data_rack: Some("r1".into()), estimate_ms: 60_000, ..shared_service(8) };
+    sim.submit(1, job(vec![near_data.clone()]));
     sim.advance(500);
-    sim.submit(2, job(vec![near]));
-    let usual = sim.submit(3, job(vec![step(8)]));
+    sim.submit(2, job(vec![near_data]));
+    let batch = sim.submit(3, job(vec![step(8)]));
     sim.advance(1_000);
-    let started = (0..8).filter(|index| sim.alive(task(usual, 0, *index)) > 0).count();
+    let started = (0..8).filter(|index| sim.alive(task(batch, 0, *index)) > 0).count();
     assert_eq!(started, 8, "the far worker is empty");
 }
 
@@ -277,7 +296,7 @@
         }
         assert_eq!(&*sim.place(key), "w1");
         sim.workers.get_mut("w1").expect("known").is_silent = true;
-        sim.advance(AWAY_MAX_MS);
+        sim.advance(DOWN_MAX_MS);
         assert_eq!(sim.starts(key), 2, "estimated at {estimate_ms} ms");
     }
 }
--- a/tests/service_waits.rs
+++ b/tests/service_waits.rs
@@ -11,18 +11,18 @@
 }
 
 /// Reasons that were written down for the first task of a job, in order.
-fn reasons(sim: &SchedulerSim, id: JobId) -> Vec<&'static str> {
-    let told = sim.events.iter().filter_map(|note| match note {
-        SchedulerEvent::ServiceAway { task: told, reason, .. } if *told == task(id, 0, 0) => {
+fn logged_reasons(sim: &SchedulerSim, id: JobId) -> Vec<&'static str> {
+    let logged = sim.events.iter().filter_map(|event| match event {
+        SchedulerEvent::ServiceAway { task: logged, reason, .. } if *logged == task(id, 0, 0) => {
             Some(*reason)
         }
         _ => None,
     });
-    told.collect()
+    logged.collect()
 }
 
 /// Lets time pass, and every run get to its full work.
-fn serve(sim: &mut SchedulerSim, ms: u64) {
+fn run_at_full_progress(sim: &mut SchedulerSim, ms: u64) {
     for _ in 0..ms / 100 {
         sim.advance(100);
         for worker in sim.workers.values_mut() {
@@ -32,54 +32,54 @@
 }
 
 #[test]
-fn a_service_at_work_has_no_line() {
+fn a_serving_service_is_not_logged() {
     let mut sim = two_workers();
     let id = sim.submit(1, job(vec![service_step(1)]));
-    serve(&mut sim, 10_000);
-    assert!(reasons(&sim, id).is_empty(), "{:?}", reasons(&sim, id));
+    run_at_full_progress(&mut sim, 10_000);
+    assert!(logged_reasons(&sim, id).is_empty(), "{:?}", logged_reasons(&sim, id));
 }
 
 /// Guards against services that are placed and never start without a word of why.
 #[test]
-fn a_start_that_the_log_does_not_have_is_told_of() {
+fn a_start_without_its_record_on_the_log_is_logged() {
     let mut sim = two_workers();
     sim.is_log_up = false;
     let id = sim.submit(1, job(vec![service_step(1)]));
-    serve(&mut sim, 6_000);
-    let told = reasons(&sim, id);
-    assert!(!told.is_empty());
-    assert!(told.iter().all(|reason| *reason == "its record is not on the log"), "{told:?}");
-    assert!(told.len() <= 3, "a line each two seconds at most: {told:?}");
+    run_at_full_progress(&mut sim, 6_000);
+    let logged = logged_reasons(&sim, id);
+    assert!(!logged.is_empty());
+    assert!(logged.iter().all(|reason| *reason == "its record is not on the log"), "{logged:?}");
+    assert!(logged.len() <= 3, "a line each two seconds at most: {logged:?}");
 }
 
 /// Guards against services that find no place without a word of why.
 #[test]
-fn a_service_without_room_is_told_of() {
+fn a_service_without_capacity_is_logged() {
     let mut sim = two_workers();
-    let mut large = service_step(1);
-    large.need.cpu = 9_000;
-    let id = sim.submit(1, job(vec![large]));
-    serve(&mut sim, 4_000);
-    assert_eq!(reasons(&sim, id), ["no worker has room"]);
+    let mut oversized = service_step(1);
+    oversized.need.cpu = 9_000;
+    let id = sim.submit(1, job(vec![oversized]));
+    run_at_full_progress(&mut sim, 4_000);
+    assert_eq!(logged_reasons(&sim, id), ["no worker has room"]);
 }
 
 /// Guards against services that wait on trial or for a probation, and look like ones without room.
 #[test]
-fn services_on_trial_are_told_of_as_such() {
+fn services_on_trial_are_logged_as_such() {
     let entries = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{n}")));
     let mut sim = SchedulerSim::open(config(), entries.collect());
     let small = StepSpec { per_worker_max: 0, ..service_step(1) };
     let ids: Vec<JobId> = (1..=6).map(|n| sim.submit(n, job(vec![small.clone()]))).collect();
-    serve(&mut sim, 1_000);
+    run_at_full_progress(&mut sim, 1_000);
     for _ in 0..3 {
         let hosts = sim.workers.iter().filter(|(_, worker)| !worker.running.is_empty());
         let hosts: Vec<String> = hosts.map(|(id, _)| id.to_string()).collect();
         sim.crash_all(&hosts.iter().map(String::as_str).collect::<Vec<_>>());
-        serve(&mut sim, 2_000);
+        run_at_full_progress(&mut sim, 2_000);
     }
-    serve(&mut sim, 8_000);
-    let told: Vec<&str> = ids.iter().flat_map(|id| reasons(&sim, *id)).collect();
-    assert!(!told.is_empty());
+    run_at_full_progress(&mut sim, 8_000);
+    let logged: Vec<&str> = ids.iter().flat_map(|id| logged_reasons(&sim, *id)).collect();
+    assert!(!logged.is_empty());
     let is_trial = |reason: &&str| {
         matches!(
             *reason,
@@ -88,5 +88,5 @@
                 | "no worker with room takes a probation"
         )
     };
-    assert!(told.iter().all(is_trial), "{told:?}");
+    assert!(logged.iter().all(is_trial), "{logged:?}");
 }
