--- a/tests/decision_cost.rs
+++ b/tests/decision_cost.rs
@@ -1,4 +1,4 @@
-//! What the leader's decisions cost: by the work that there is, and not by what is only configured.
+//! Cost of the leader's decisions: it must follow the work, not the size of the configuration.
 
 mod support;
 
@@ -7,11 +7,12 @@
 use ibisweir::jobs::site::{SiteConfig, WorkerEntry};
 use support::sim::{POOL, SchedulerSim, config, job, queue, step, worker};
 
-/// Jobs that wait for room.
+/// Jobs that wait for capacity.
 const JOBS: u64 = 200;
 /// Queues of a large site.
 const QUEUES: usize = 4_000;
-/// Ticks of which the fastest counts, in a row and again later: other processes take the processor at times.
+/// Ticks per round; the fastest of all rounds counts, since other processes take the processor at
+/// times.
 const TICKS: usize = 60;
 const ROUNDS: usize = 5;
 
@@ -19,7 +20,7 @@
     (0..8).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect()
 }
 
-/// A full pool with jobs in line.
+/// A full pool with waiting jobs.
 fn full_pool(config: SiteConfig) -> SchedulerSim {
     let mut sim = SchedulerSim::open(config, workers());
     for id in 0..JOBS {
@@ -28,10 +29,10 @@
     sim
 }
 
-/// Time of the fastest of some ticks that look at all that waits.
+/// Time of the fastest of some ticks that consider all waiting tasks.
 fn fastest_tick(sim: &mut SchedulerSim) -> Duration {
     let tick = |_| {
-        // Longer than the time between two looks at how runs get on, after each of which tasks are placed.
+        // Longer than the sweep interval, so that each tick places tasks.
         sim.now += 110;
         let wall_ms = sim.now;
         sim.scheduler.confirm(sim.now);
@@ -46,8 +47,8 @@
     (0..TICKS).map(tick).min().unwrap_or_default()
 }
 
-/// Guards against a leader that falls behind where the configuration is large: each job in line was looked up among
-/// all queues, several times in each decision.
+/// Guards against a leader that falls behind with a large configuration: the queue of each waiting
+/// job was looked up among all queues, several times in each decision.
 #[test]
 fn queues_without_jobs_cost_the_leader_nothing() {
     let unused = (0..QUEUES).map(|n| queue(&format!("unused-{n}"), POOL));
--- a/tests/runtime_model.rs
+++ b/tests/runtime_model.rs
@@ -1,4 +1,4 @@
-//! Run times that are learned from what was seen.
+//! Run times that are learned from observations.
 
 mod support;
 
@@ -12,13 +12,13 @@
     StdRng::seed_from_u64(7)
 }
 
-/// Before anything was seen, declared times are all that there is.
+/// Before the first observation, declared times are used as they are.
 #[test]
 fn declared_times_are_used_until_a_step_is_done() {
     assert_eq!(RuntimeModel::default().expected_ms(1_234), 1_234);
 }
 
-/// Declared times that are right are followed, also far from those that were seen.
+/// Declared times that are right are followed, also far from the observed ones.
 #[test]
 fn correct_declarations_are_followed() {
     let mut model = RuntimeModel::default();
@@ -31,7 +31,8 @@
     assert!((1_900..=2_100).contains(&expected), "{expected}");
 }
 
-/// Declared times that tell nothing are not followed: every step is expected to take the mean.
+/// Declared times without any relation to observed ones are not followed: every step is expected to
+/// take the mean.
 #[test]
 fn unrelated_declarations_are_not_followed() {
     let mut model = RuntimeModel::default();
@@ -45,7 +46,7 @@
     }
 }
 
-/// Equal declarations say nothing of each other; their steps are expected to take what they took.
+/// Equal declared times give no slope; such steps are expected to take what earlier ones took.
 #[test]
 fn equal_declarations_are_corrected_by_observed_times() {
     let mut model = RuntimeModel::default();
@@ -55,9 +56,10 @@
     assert!(model.expected_ms(500) > 1_300, "{}", model.expected_ms(500));
 }
 
-/// A queue asks for more than its pool holds. Its callers declare a tenth of the time that their tasks
-/// take, so every job soon looks as if its objective had passed, and the pool would serve what is
-/// late and what is in time alike. Once a few steps were seen, a job that is still in time goes first.
+/// Guards against declared run times that are too short. A queue asks for more than its pool holds,
+/// and its callers declare a tenth of the time that their tasks take: every job soon looks late,
+/// and the pool would serve late jobs and those still in time alike. After a few observed steps, a
+/// job that is still in time goes first.
 #[test]
 fn a_job_that_is_in_time_goes_first_though_its_declaration_says_otherwise() {
     let declared = |count| StepSpec { estimate_ms: 100, ..step(count) };
@@ -68,7 +70,7 @@
         sim.end(task(seen, 0, 0), ExitKind::Done);
         sim.advance(60);
     }
-    // All the room is taken for 1.5 s, in which two jobs come.
+    // All capacity is in use for 1.5 s, in which two jobs arrive.
     let blocker = sim.submit(30, job(vec![declared(8)]));
     sim.advance(200);
     let first = sim.submit(31, job(vec![declared(8)]));
@@ -78,7 +80,7 @@
         sim.end(task(blocker, 0, index), ExitKind::Done);
     }
     sim.advance(60);
-    // The first still has time by what such tasks take; by its declaration it is late.
+    // The first is still in time by observed run times; by its declaration it is late.
     assert_eq!(sim.alive(task(first, 0, 0)), 1);
     assert_eq!(sim.alive(task(second, 0, 0)), 0);
 }
--- a/tests/scheduler_capacity.rs
+++ b/tests/scheduler_capacity.rs
@@ -1,4 +1,4 @@
-//! Rooms that shrink and grow while tasks run: what fits is what the worker said last.
+//! Workers whose capacity changes while tasks run: the latest worker entry counts.
 
 mod support;
 
@@ -8,26 +8,26 @@
 use ibisweir::jobs::site::{SiteConfig, WorkerEntry};
 use support::sim::{SchedulerSim, config, job, step, task, worker};
 
-/// Pools whose workers start whatever they are told to.
+/// Pools whose workers have no admission check and start whatever they are told to.
 fn without_admission_check() -> SiteConfig {
     let mut config = config();
     config.pools.iter_mut().for_each(|pool| pool.has_admission_check = false);
     config
 }
 
-/// A worker that says that it has so many cores.
+/// A worker entry with this number of cores.
 fn with_cores(entry: &WorkerEntry, cores: u64) -> WorkerEntry {
     let capacity = ResourceVector { cpu: cores * 1_000, ..entry.capacity };
     WorkerEntry { capacity, ..entry.clone() }
 }
 
-/// Processor of what runs on a worker, in cores; each task takes one.
+/// Cores that the runs on a worker use; each task takes one.
 fn cores_used(sim: &SchedulerSim, id: &str) -> usize {
     sim.workers[id].running.len()
 }
 
-/// A worker's room shrinks below what runs there. Nothing that runs is stopped, and nothing is started until
-/// enough has ended; when the room grows again, what waited starts at once.
+/// A worker's capacity shrinks below what is running. No run is stopped, and nothing starts until
+/// enough runs have ended; when the capacity grows again, the waiting tasks start at once.
 #[test]
 fn a_worker_that_shrinks_below_its_runs_takes_no_start_until_it_fits() {
     let w1 = worker("w1", "r1");
@@ -50,8 +50,9 @@
     assert_eq!(sim.alive(task(second, 0, 0)) + sim.alive(task(second, 0, 1)), 2);
 }
 
-/// Starts wait to be sent when the worker says that it has less room. Sent all the same, they would bring a
-/// worker that guards nothing over its room: callers' tasks there would starve each other. They go elsewhere.
+/// Guards against starts that wait to be sent while their worker's capacity shrinks. Sent all the
+/// same, they would overload a worker without an admission check, and its tasks would starve each
+/// other. They go elsewhere.
 #[test]
 fn starts_waiting_for_a_worker_that_shrinks_go_elsewhere() {
     let (w1, w2) = (worker("w1", "r1"), worker("w2", "r2"));
@@ -71,8 +72,9 @@
     assert!((0..8).all(|index| alive(index) == 1), "each runs once");
 }
 
-/// Starts had no answer, and the worker says that it has less room before they are sent again. Sent again, they
-/// bring it over its room. They are stopped there for good, and run elsewhere, once.
+/// Guards against starts that had no answer and are sent again after their worker's capacity has
+/// shrunk, which would overload it. They are stopped there for good, and each task runs elsewhere,
+/// once.
 #[test]
 fn starts_in_doubt_are_not_repeated_on_a_worker_that_shrank() {
     let (w1, w2) = (worker("w1", "r1"), worker("w2", "r2"));
@@ -97,9 +99,10 @@
     assert!((0..4).all(|index| alive(index) == 1), "each runs once");
 }
 
-/// The leader is confirmed, but what the workers say of themselves has not been read for seconds: the part of
-/// the log that keeps it is away. A room may have shrunk meanwhile. Workers that guard nothing get no start until
-/// it is read again; those that refuse what does not fit go on.
+/// Guards against starts on capacities that have not been read for seconds: the part of the log
+/// with the worker entries is unreachable, and a worker may have shrunk meanwhile. Workers without
+/// an admission check get no start until the entries are read again; those that refuse what does
+/// not fit still get starts.
 #[test]
 fn stale_capacities_allow_no_start_without_an_admission_check() {
     for (config, has_admission_check) in [(without_admission_check(), false), (config(), true)] {
@@ -115,7 +118,8 @@
     }
 }
 
-/// What is being stopped still takes room until its end is listed, also in a room that shrank meanwhile.
+/// A run that is being stopped counts until its end is listed, also on a worker that has shrunk
+/// meanwhile.
 #[test]
 fn runs_being_stopped_count_on_a_worker_that_shrank() {
     let w1 = worker("w1", "r1");
--- a/tests/scheduler_caps.rs
+++ b/tests/scheduler_caps.rs
@@ -1,4 +1,4 @@
-//! Organisations and their caps: what each has running over all workers.
+//! Caps of organisations on what they have running over all workers.
 
 mod support;
 
@@ -21,7 +21,7 @@
     ResourceVector { cpu, memory: 0, accelerators: 0 }
 }
 
-/// A configuration in which each organisation may have so many thousandths of a core running.
+/// A configuration with a cap for each organisation, in thousandths of a core.
 fn capped(version: u64, caps: &[(&str, u64)]) -> SiteConfig {
     let organisations = caps.iter().map(|(name, cap)| OrganisationSpec {
         name: (*name).into(),
@@ -45,7 +45,7 @@
     job_id(id)
 }
 
-/// Tasks of a job that are at work.
+/// Running tasks of a job.
 fn running(sim: &SchedulerSim, id: JobId) -> usize {
     let on = |worker: &support::sim::SimWorker| {
         worker.running.keys().filter(|(task, _)| task.job == id).count()
@@ -53,8 +53,9 @@
     sim.workers.values().map(on).sum()
 }
 
-/// An organisation asks for more than it may have running. Its tasks wait, beside free workers; those of another one
-/// and of nobody, behind them in the line, are placed as if they were not there. As its tasks end the next begin.
+/// Guards against a cap that holds back other organisations. One asks for more than its cap: its
+/// tasks wait beside free workers, while those of another organisation and of an open queue, behind
+/// them in the order, are placed as if they were not there. As its tasks end, its next ones begin.
 #[test]
 fn an_organisation_at_its_cap_holds_back_nobody_else() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 4_000), ("west", 0)]), workers(4));
@@ -69,7 +70,7 @@
     assert_eq!(running(&sim, east), 4);
 }
 
-/// A single task needs more than the whole cap. It runs, alone: its caller could wait for ever otherwise.
+/// Guards against a task that never runs because it needs more than the whole cap: it runs alone.
 #[test]
 fn a_task_that_is_larger_than_the_cap_runs_alone() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 2_000)]), workers(2));
@@ -81,7 +82,8 @@
     assert_eq!(running(&sim, id), 1);
 }
 
-/// The cap falls far below what runs. Nothing is stopped, and nothing starts until what runs is below it.
+/// Guards against runs that are stopped, and starts that go out too early, when a cap falls far
+/// below what is running.
 #[test]
 fn a_lowered_cap_holds_back_starts_until_enough_runs_have_ended() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 8_000)]), workers(4));
@@ -99,7 +101,8 @@
     assert_eq!(running(&sim, id), 3);
 }
 
-/// An organisation leaves the configuration while its jobs wait and run: they go on under its last cap.
+/// Guards against jobs that stop when their organisation leaves the configuration: they go on under
+/// its last cap.
 #[test]
 fn jobs_of_a_removed_organisation_go_on_under_its_last_cap() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 2_000)]), workers(2));
@@ -114,8 +117,8 @@
     assert!(sim.state(id).is_some_and(|state| state.is_final()), "{:?}", sim.started);
 }
 
-/// A new leader takes over with runs that it can't reach: on a worker that is silent, and starts in doubt on another.
-/// They count until they are known to be over.
+/// Guards against a new leader that forgets runs in doubt, on a silent worker or from unanswered
+/// starts: they count until they are known to be over.
 #[test]
 fn runs_in_doubt_count_across_a_change_of_leaders() {
     let config = capped(1, &[("east", 4_000)]);
@@ -137,7 +140,8 @@
     assert!(counted <= 4, "{counted} tasks run");
 }
 
-/// Copies of tasks, services, later steps and gangs all count.
+/// Guards against a kind of run that the cap does not count: copies, services, later steps and
+/// gangs.
 #[test]
 fn every_kind_of_run_counts_against_the_cap() {
     let mut sim = SchedulerSim::open(capped(1, &[("east", 6_000)]), workers(4));
@@ -153,8 +157,9 @@
     assert_eq!(running(&sim, chain), 3);
 }
 
-/// An organisation sends far more than its share into a full pool, jobs of less work than everybody's. Those of the
-/// others begin first as room comes; what is beyond a share runs where room is left, and no VM is called for it.
+/// Guards against an organisation that sends far more than its share into a full pool, in jobs of
+/// less work than everybody else's. Jobs of others start first as capacity becomes free; jobs
+/// beyond a share run where capacity is left, and no VM is called for them.
 #[test]
 fn jobs_beyond_a_share_do_not_delay_the_others() {
     let mut config = capped(1, &[("east", 0), ("west", 0)]);
@@ -188,10 +193,11 @@
     assert_eq!(running_in_all(&beyond_share[2..]), 2);
 }
 
-/// Random days: organisations with caps that rise and fall, pools in which all is full or nothing, tasks that end,
-/// workers that crash, are silent or carry starts out late, leaders that change and a log that is away. At no moment
-/// does an organisation have more running than its highest cap of late and one task; and none that is under half
-/// of its cap waits beside free room for three seconds.
+/// Random runs with caps that rise and fall, full and empty pools, tasks that end, workers that
+/// crash, fall silent or carry starts out late, changes of leaders and an unreachable log. Guards
+/// against an organisation that has more running than its highest recent cap and one task, and
+/// against one that waits beside free capacity for three seconds while it uses less than half of
+/// its cap.
 #[test]
 fn random_runs_keep_the_caps_and_starve_nobody() {
     let first: u64 =
@@ -213,9 +219,9 @@
     version: u64,
     caps: BTreeMap<&'static str, u64>,
     job_owners: BTreeMap<JobId, (&'static str, u64)>,
-    /// Since when an organisation waits beside room, in steps.
+    /// Number of steps for which an organisation has been waiting beside free capacity.
     waiting_steps: BTreeMap<&'static str, u32>,
-    /// Steps since the last trouble.
+    /// Steps since the last fault.
     steps_since_fault: u32,
 }
 
@@ -288,7 +294,7 @@
     fn change_cap(&mut self) {
         let name = ORGANISATIONS[self.random.random_range(0..ORGANISATIONS.len())];
         let cap = self.random.random_range(1..12) * 1_000;
-        // Caps only rise here while the sum that is checked may be over them.
+        // A cap is not set below the current usage, since the checked sum could exceed it then.
         self.caps.insert(name, cap.max(self.used(name)));
         self.version += 1;
         let config = config_of(self.version, &self.caps);
@@ -306,7 +312,7 @@
         }
     }
 
-    /// What runs of an organisation, wherever it is.
+    /// Usage of an organisation over all workers.
     fn used(&self, name: &str) -> u64 {
         let runs = self.sim.workers.values().flat_map(|worker| worker.running.keys());
         let needs = runs.filter_map(|(key, _)| self.job_owners.get(&key.job));
@@ -321,11 +327,12 @@
             let is_starved = self.is_starved(name, used, cap);
             let waiting_steps = self.waiting_steps.entry(name).or_default();
             *waiting_steps = if is_starved { *waiting_steps + 1 } else { 0 };
-            assert!(*waiting_steps < 30, "seed {}: {name} waits beside room", self.seed);
+            assert!(*waiting_steps < 30, "seed {}: {name} waits beside free capacity", self.seed);
         }
     }
 
-    /// Nothing of a job runs while its organisation is under half of its cap and there is room for it twice.
+    /// Whether an organisation under half of its cap has a job with no running task, although two
+    /// of its tasks would fit.
     fn is_starved(&self, name: &str, used: u64, cap: u64) -> bool {
         if self.steps_since_fault < 40 || !self.sim.is_log_up || used * 2 >= cap {
             return false;
--- a/tests/scheduler_model.rs
+++ b/tests/scheduler_model.rs
@@ -1,11 +1,12 @@
 //! Long random runs of the scheduler against the rules that callers rely on.
 //!
-//! Jobs of every kind come while workers fall silent, starts are carried out late, the log is away,
-//! leaders change, and callers cancel. After every step the rules are checked from what workers did:
-//! no task runs twice at a time, none runs again after its end was recorded, steps keep their order,
-//! workers are not overfilled. In the end everything heals, and every job must come to its end.
+//! Jobs of every kind arrive while workers fall silent, starts are carried out late, the log is
+//! unreachable, leaders change, and callers cancel. After every step the rules are checked from
+//! what workers did: no task runs twice at a time, none runs again after its end was logged, steps
+//! keep their order, workers are not overloaded. In the end all faults are healed, and every job
+//! must end.
 //!
-//! `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` draw other and longer runs.
+//! `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` select other and longer runs.
 
 mod support;
 
@@ -21,7 +22,7 @@
 use rand::{Rng, SeedableRng};
 use support::sim::{POOL, SchedulerSim, config, job, service_step, step, vm, worker};
 
-/// Runs in CI; by hand thousands.
+/// Runs in CI; thousands by hand.
 const RUNS: u64 = 40;
 /// Steps of a run.
 const STEPS: usize = 120;
@@ -32,18 +33,18 @@
     random: StdRng,
     jobs: BTreeMap<JobId, JobSpec>,
     cancelled: BTreeSet<JobId>,
-    /// Tasks whose end as done the log has.
+    /// Tasks that the log has as done.
     logged_done: BTreeSet<TaskKey>,
     /// Tasks that a worker has ended as done.
     done: BTreeSet<TaskKey>,
-    /// Jobs whose last state was told; their keys are dropped some minutes later.
+    /// Jobs with a final state; the log drops their keys some minutes later.
     finished: BTreeSet<JobId>,
     checked_starts: usize,
     term: u64,
     next_job: u64,
 }
 
-/// Without a standby pool no VM leaves: moves are tested elsewhere.
+/// Without a standby pool no VM leaves: other tests cover moves.
 fn one_pool() -> SiteConfig {
     let mut config = config();
     config.pools.retain(|pool| !pool.is_standby);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Runs that are alive, with their workers.
+    /// Live runs with their workers.
     fn alive(&self) -> Vec<(Arc<str>, TaskKey, u32)> {
         let mut alive = Vec::new();
         for (id, worker) in &self.sim.workers {
@@ -121,7 +122,7 @@
         alive
     }
 
-    /// Ends one of the runs that are alive, most of them well.
+    /// Ends one of the live runs, most of them successfully.
     fn end_random_run(&mut self) {
         let alive = self.alive();
         if alive.is_empty() {
@@ -141,7 +142,7 @@
         self.sim.end_run(task, run, &id, kind);
     }
 
-    /// The members of a gang end together, once all of one run are there.
+    /// Ends all members of a gang together, once all of one run have started.
     fn end_gang(&mut self, task: TaskKey, run: u32) {
         let count = self.jobs[&task.job].steps[usize::from(task.step)].count;
         let members: Vec<(Arc<str>, TaskKey)> = self
@@ -207,7 +208,7 @@
         self.sim.take_over(self.term, one_pool());
     }
 
-    /// A worker loses all that it runs; its VM shows another life.
+    /// A worker loses all its runs; its VM shows another incarnation.
     fn crash(&mut self) {
         let id = self.any_worker();
         self.sim.crash(&id);
@@ -232,10 +233,11 @@
         self.finished.extend(self.jobs.keys().filter(is_finished));
     }
 
-    /// Looks at the starts since the last check.
+    /// Checks the starts since the last check.
     fn check_starts(&mut self) {
         for (task, run, worker) in &self.sim.started[self.checked_starts..] {
-            // A start that was under way when an earlier run, taken for lapsed, turned out to be done.
+            // A start that was in flight when an earlier run, assumed to have lapsed, turned out to
+            // be done.
             let is_late = self.sim.started_late.contains(&(*task, *run));
             let is_repeated = self.logged_done.contains(task) && !is_late;
             assert!(!is_repeated, "{task} run {run} on {worker} after its end");
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Everything heals; every job that can end must.
+    /// Heals all faults; every job that can end must end.
     fn heal(&mut self) {
         self.sim.is_log_up = true;
         for id in self.sim.workers.keys().cloned().collect::<Vec<_>>() {
@@ -282,10 +284,10 @@
         }
         let open: Vec<_> = self.jobs.iter().filter(|(id, _)| !self.finished.contains(id)).collect();
         let logged: Vec<_> = open.iter().map(|(id, _)| self.sim.book.get(**id)).collect();
-        panic!("these never end: {open:#?} {logged:#?}");
+        panic!("these jobs never end: {open:#?} {logged:#?}");
     }
 
-    /// Callers take their services back, so that there is room for the rest.
+    /// Cancels all services to make capacity for the rest.
     fn cancel_services(&mut self) {
         let is_service = |spec: &JobSpec| spec.steps.iter().any(|step| step.is_service);
         let services: Vec<JobId> =
@@ -344,7 +346,7 @@
     }
 }
 
-/// The VM list names every worker of the stage.
+/// The VM list names every worker of the simulation.
 #[test]
 fn a_crashed_worker_is_replaced_by_another_incarnation() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
--- a/tests/scheduler_steps.rs
+++ b/tests/scheduler_steps.rs
@@ -20,8 +20,8 @@
     StepSpec { need: ResourceVector { cpu, memory: 100, accelerators: 0 }, ..step(count) }
 }
 
-/// A gang works only together. With room for two of its three members none is started: the two would
-/// hold their room and wait in vain.
+/// Guards against a gang of which only a part is started. Its members work only together; with
+/// capacity for two of three, the two would hold that capacity in vain.
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -38,7 +38,8 @@
     assert_eq!(sim.state(id), Some(JobState::Queued));
 }
 
-/// A gang that wants one rack finds it on the rack that has room for all, not on the two first workers.
+/// Guards against a gang that wants one rack and is spread over the first workers with capacity,
+/// though another rack has capacity for all of it.
 #[test]
 fn a_gang_that_wants_one_rack_is_placed_on_one() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2"), worker("w3", "r2")];
@@ -66,8 +67,8 @@
     assert_eq!(started, 2, "one on each of two workers");
 }
 
-/// The data's rack is full. The task waits for room there for as long as it would lose elsewhere, and
-/// then goes elsewhere.
+/// The rack with the data is full. The task waits for capacity there only for as long as it would
+/// lose elsewhere, and then runs elsewhere.
 #[test]
 fn a_task_waits_for_the_rack_of_its_data_only_as_long_as_it_pays() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -82,8 +83,8 @@
     assert_eq!(&*sim.place(task(second, 0, 0)), "w2");
 }
 
-/// Two occurrences overlap: the second begins when it is due, though the first still runs. The job is
-/// completed when both are done.
+/// Two occurrences overlap: the second begins when it is due, though the first still runs. The job
+/// is completed when both are done.
 #[test]
 fn occurrences_begin_when_they_are_due_and_may_overlap() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -105,8 +106,9 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// A caller's schedule is a millisecond apart. Begun all at once its occurrences would fill the memory
-/// of the leader, and a record that no append takes would stop all commits.
+/// Guards against a schedule with one occurrence each millisecond. Begun all at once, the
+/// occurrences would fill the leader's memory, and a record too large for any append would stop all
+/// commits.
 #[test]
 fn occurrences_that_come_too_fast_wait_for_earlier_ones() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -123,7 +125,7 @@
         sim.end(task(id, 0, index), ExitKind::Done);
     }
     sim.advance(500);
-    assert!(sim.started.len() > 8, "others follow as room is free");
+    assert!(sim.started.len() > 8, "later ones follow as capacity becomes free");
 }
 
 fn with_permits() -> SiteConfig {
@@ -133,8 +135,8 @@
     config
 }
 
-/// A queue's policy allows a step on some workers only. Nothing starts before the permits have come,
-/// and then only where they allow it, with the permit in the start.
+/// A queue's policy allows a step on some workers only. Nothing starts before the permits have
+/// come, and then only where they allow it, with the permit in the start.
 #[test]
 fn a_step_starts_only_where_its_permits_allow() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
@@ -143,7 +145,7 @@
     sim.advance(300);
     assert!(sim.started.is_empty());
     let requested = sim.permits_asked.clone();
-    assert_eq!(requested.len(), 1, "one question for the whole step");
+    assert_eq!(requested.len(), 1, "one request for the whole step");
     assert_eq!(requested[0].1.len(), 2);
     let allowed = vec![(Arc::from("w2"), Arc::from("permit-2"))];
     let grant = PermitGrant { allowed, valid_ms: 3_000 };
@@ -155,8 +157,8 @@
     assert!(sim.permits_used.iter().all(|permit| permit.as_deref() == Some("permit-2")));
 }
 
-/// A best-effort task beside a service whose tail nears its target is slowed at once, and may go
-/// faster again when there is room.
+/// A best-effort task beside a service whose tail latency nears its target is slowed at once, and
+/// may go faster again when there is headroom.
 #[test]
 fn a_best_effort_task_is_slowed_when_a_tail_latency_nears_its_target() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -176,8 +178,8 @@
     assert!(last > *shares.last().expect("throttled"), "{:?}", sim.throttles);
 }
 
-/// Guards against a best-effort task that stands still for good, as a throttle without an answer was carried out after
-/// newer ones.
+/// Guards against a best-effort task that stays stopped for good because a throttle without an
+/// answer was carried out after newer ones.
 #[test]
 fn a_throttle_without_an_answer_is_overridden_repeatedly() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -197,11 +199,12 @@
     assert_eq!(last(&sim), 100);
     let sent = sim.throttles.len();
     sim.advance(10_000);
-    assert!(sim.throttles.len() > sent, "a late one would stay in force");
+    assert!(sim.throttles.len() > sent, "a late throttle would stay in force");
     assert_eq!(last(&sim), 100);
 }
 
-/// Guards against a best-effort task that stays slowed for good, as the leader that slowed it is gone.
+/// Guards against a best-effort task that stays slowed for good after the leader that slowed it is
+/// gone.
 #[test]
 fn a_new_leader_sends_throttles_again() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -220,8 +223,8 @@
     assert_eq!(sim.throttles.last().map(|(_, percent)| *percent), Some(100));
 }
 
-/// The pool is full of batch work of a lower priority when a service needs a place. The least work is
-/// thrown away for it.
+/// The pool is full of batch work of a lower priority when a service arrives. The run with the
+/// least work done is preempted.
 #[test]
 fn a_service_preempts_work_of_lower_priority() {
     let mut config = config();
@@ -243,7 +246,7 @@
     assert_eq!(sim.alive(task(batch, 0, 1)), 0);
 }
 
-/// A task that fails on every worker uses its attempts up, and its job has failed; no start follows.
+/// A task that fails on every worker uses up its attempts, and its job fails; no start follows.
 #[test]
 fn a_task_that_always_fails_uses_up_its_attempts() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -257,8 +260,8 @@
     assert_eq!(sim.state(id), Some(JobState::Failed));
 }
 
-/// Absurd jobs are refused before they are stored: their progress would not fit into one record, and
-/// the leader could commit nothing any more.
+/// Guards against jobs whose progress does not fit into one record: the leader could commit nothing
+/// any more. They are refused before they are stored.
 #[test]
 fn a_job_whose_progress_could_not_be_stored_is_refused() {
     let oversized = job(vec![step(1_500), step(1_500)]);
--- a/tests/service_losses.rs
+++ b/tests/service_losses.rs
@@ -1,8 +1,9 @@
-//! Tasks that last and lose their workers again and again.
+//! Service tasks that lose their workers again and again.
 //!
-//! Checked: each is at work again within the bound, however many wait, and however often leaders change; none without
-//! fault is given up, and one that crashes its workers costs no more of them than the bound. `IBISWEIR_TEST_SEED` and
-//! `IBISWEIR_TEST_RUNS` draw other and more runs; with `--nocapture` each scene tells what it measured.
+//! Checked: each is running again within the bound, however many wait and however often leaders
+//! change; no task without fault is given up, and a task that crashes its workers costs no more of
+//! them than the bound. `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` select other and more runs;
+//! with `--nocapture` each scenario prints what it measured.
 
 mod support;
 
@@ -17,41 +18,41 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use support::sim::{SchedulerSim, config, job, job_id, service_step, step, task, worker};
 
-/// Time from its last run within which a task that lasts must run again, in milliseconds.
+/// Longest allowed downtime of a service task, in milliseconds.
 const DOWN_MAX_MS: u64 = 6_000;
-/// Workers that a task may cost.
+/// Most workers that a task may cost.
 const WORKERS_LOST_MAX: usize = 5;
-/// Runs of each scene with tasks that crash their workers in CI; by hand fifty.
+/// Runs in CI of each scenario with tasks that crash their workers; fifty by hand.
 const RUNS: u64 = 2;
-/// Time between two looks, in milliseconds.
+/// Time between two observations, in milliseconds.
 const STEP_MS: u64 = 20;
-/// Time for which all work before the first loss: short enough that it counts.
+/// Run time before the first loss, in milliseconds: short enough that the loss counts.
 const WARM_UP_MS: u64 = 1_000;
-/// Time for everybody to come back after the last loss.
+/// Time for all tasks to recover after the last loss, in milliseconds.
 const SETTLE_MS: u64 = 30_000;
 /// The same where tasks crash their workers.
 const CRASH_SETTLE_MS: u64 = 90_000;
-/// Time from a crash until its next life is listed, in milliseconds.
+/// Time from a crash until the worker's next incarnation is listed, in milliseconds.
 const RESTART_MS: u64 = 600;
-/// Time that a short task works, in milliseconds.
+/// Run time of a short task, in milliseconds.
 const SHORT_TASK_MS: u64 = 60;
 
-/// What happens in a pool; times in milliseconds.
+/// Events in a pool; times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct LossScenario {
     vms: usize,
-    /// Tasks that last, each a job of its own.
+    /// Service tasks, each a job of its own.
     tasks: u64,
-    /// Times that all workers which host them are lost.
+    /// Times that all workers with service tasks are lost.
     losses: u32,
     gap_ms: u64,
     /// Time between two changes of leaders; 0 for none.
     term_ms: u64,
     /// Time between two starts of short tasks; 0 for none.
     arrivals_ms: u64,
-    /// Time between two losses of workers that host no task that lasts; 0 for none.
+    /// Time between two losses of workers without service tasks; 0 for none.
     other_loss_ms: u64,
-    /// Tasks that last and crash their workers.
+    /// Service tasks that crash their workers.
     crashing: u64,
     /// Time from their starts to the crashes.
     crash_after_ms: u64,
@@ -69,16 +70,16 @@
     crash_after_ms: 0,
 };
 
-/// What a scene has shown.
+/// Measurements of a scenario.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Longest time without a run, of those without fault that were not given up.
+    /// Longest downtime of a task without fault that was not given up.
     down_ms: u64,
     wrongly_given_up: usize,
     harmless: usize,
     crashing: usize,
     crashing_given_up: usize,
-    /// Most workers that one bad task took.
+    /// Most workers that one crashing task took.
     workers_lost_max: usize,
     short_tasks_open: usize,
     short_task_age_ms: u64,
@@ -94,7 +95,7 @@
     begun_ms: BTreeMap<(TaskKey, u32), u64>,
     last_running_ms: BTreeMap<TaskKey, u64>,
     down_ms: BTreeMap<TaskKey, u64>,
-    /// Workers that have crashed and are not listed anew, with the time for it.
+    /// Workers that have crashed and are not listed again yet, each with the time when it will be.
     unlisted: Vec<(Arc<str>, u64)>,
     short_task_age_ms: u64,
     jobs: u64,
@@ -139,7 +140,8 @@
         self.sim.submit(self.jobs, job(vec![spec]))
     }
 
-    /// Hands in the tasks that last, in any order; the bad ones begin to crash their workers with the first start.
+    /// Submits the service tasks in random order; the crashing ones crash their workers from the
+    /// first start on.
     fn submit_services(&mut self) {
         let mut are_crashing: Vec<bool> = (0..self.scenario.tasks + self.scenario.crashing)
             .map(|number| number >= self.scenario.tasks)
@@ -160,7 +162,7 @@
         self.sim.crashing_tasks.contains(key)
     }
 
-    /// Workers that host tasks that last, or the others.
+    /// Workers with service tasks, or the others.
     fn workers_by(&self, are_hosts: bool) -> Vec<Arc<str>> {
         let is_service = |(task, _): &(TaskKey, u32)| self.services.contains(task);
         let workers = self.sim.workers.iter().filter(|(_, worker)| !worker.is_silent);
@@ -170,7 +172,7 @@
             .collect()
     }
 
-    /// Workers crash; their next lives are listed a while later.
+    /// Crashes workers; their next incarnations are listed `RESTART_MS` later.
     fn crash_workers(&mut self, ids: Vec<Arc<str>>) {
         for id in ids {
             let worker = self.sim.workers.get_mut(&id).expect("known");
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Ends what is through, and takes note of who runs.
+    /// Ends short tasks whose time is up, and records which service tasks are running.
     fn observe(&mut self, now: u64) {
         let mut running = BTreeSet::new();
         for worker in self.sim.workers.values_mut().filter(|worker| !worker.is_silent) {
@@ -236,7 +238,8 @@
         self.short_tasks.retain(|id, begun| {
             let is_finished = sim.state(*id).is_some_and(|state| state.is_final());
             self.short_task_age_ms += if is_finished { now - *begun } else { 0 };
-            // The entry stays until its runs are gone, so that they aren't taken for lasting ones.
+            // The entry stays until its runs are gone, so that they are not counted as service
+            // tasks.
             !is_finished || sim.alive(task(*id, 0, 0)) > 0
         });
         for key in &self.services {
@@ -296,7 +299,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Plays scenes in which nobody is to blame and checks the time away.
+/// Runs scenarios without crashing tasks and checks the downtime.
 fn check_recovery(scenarios: &[LossScenario]) {
     let mut violations = Vec::new();
     for scenario in scenarios {
@@ -325,13 +328,14 @@
     ]);
 }
 
-/// Guards against a wait that grows with the number of tasks that were lost.
+/// Guards against downtime that grows with the number of tasks that were lost.
 #[test]
 fn many_services_that_are_lost_together_run_again_in_time() {
     check_recovery(&[LossScenario { vms: 40, tasks: 120, ..BASE }]);
 }
 
-/// Guards against a wait that begins anew with each leader, in a pool where tasks start all the time.
+/// Guards against a wait that starts anew with each leader, in a pool where tasks start all the
+/// time.
 #[test]
 fn services_that_are_lost_between_changes_of_leaders_run_again_in_time() {
     let single = LossScenario { tasks: 1, losses: 4, gap_ms: 8_000, ..BASE };
@@ -355,7 +359,7 @@
     ]);
 }
 
-/// Plays scenes with tasks that crash their workers, and checks the bound.
+/// Runs scenarios with tasks that crash their workers, and checks the bound.
 fn check_bound(scenarios: &[LossScenario]) {
     let first = number("IBISWEIR_TEST_SEED", 1);
     let mut violations = Vec::new();
@@ -384,8 +388,8 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Guards against tasks that last and crash their workers, early or late, one or many, and against their neighbours that
-/// are given up for it.
+/// Guards against service tasks that crash their workers, early or late, one or many, and against
+/// neighbours that are given up in their place.
 #[test]
 fn services_that_crash_their_workers_are_bounded() {
     for crash_after_ms in [10, 700, 3_000] {
@@ -394,14 +398,15 @@
     check_bound(&crash_scenarios(10, &[(4, 6)]));
 }
 
-/// Guards against the same where half of the tasks that last crash their workers, and there are three for each VM.
+/// Guards against the same where half of the service tasks crash their workers, and there are three
+/// of them for each VM.
 #[test]
 fn services_of_which_half_crash_a_small_pool_are_bounded() {
     let scenarios = [700, 3_000].map(|crash_after_ms| crash_scenarios(crash_after_ms, &[(4, 6)]));
     check_bound(&scenarios.concat());
 }
 
-/// Scenes with so many VMs and tasks that crash their workers, in calm pools and in busy ones.
+/// Scenarios with these numbers of VMs and crashing tasks, in idle pools and in busy ones.
 fn crash_scenarios(crash_after_ms: u64, sizes: &[(usize, u64)]) -> Vec<LossScenario> {
     let scenario = |(vms, crashing): (usize, u64), arrivals_ms| LossScenario {
         losses: 0,
@@ -414,7 +419,8 @@
     sizes.iter().flat_map(|size| [0, 100].map(|arrivals_ms| scenario(*size, arrivals_ms))).collect()
 }
 
-/// Guards against the same where leaders change all the time: none sees how long a run has been at work.
+/// Guards against the same where leaders change all the time, so that none sees how long a run has
+/// been running.
 #[test]
 fn services_that_crash_their_workers_are_bounded_across_leaders() {
     let mut scenarios = Vec::new();
@@ -429,8 +435,8 @@
     check_bound(&scenarios);
 }
 
-/// Guards against a pool that takes no start for seconds after a change of leaders, as lasting tasks that once lost
-/// workers are on all of its VMs.
+/// Guards against a pool that takes no starts for seconds after a change of leaders because service
+/// tasks that once lost workers are on all of its VMs.
 #[test]
 fn a_pool_full_of_services_takes_starts_from_the_next_leader() {
     let mut pool = ServicePool::open(BASE, 1);
--- a/tests/service_recovery.rs
+++ b/tests/service_recovery.rs
@@ -1,4 +1,4 @@
-//! Services come back to work in time after their last run, wherever there is room for them.
+//! Services recover in time after their last run ended, wherever there is capacity for them.
 
 mod support;
 
@@ -11,15 +11,15 @@
 use ibisweir::scheduler::SchedulerEvent;
 use support::sim::{POOL, SchedulerSim, config, job, service_step, step, task, vm, worker};
 
-/// Longest time for which a service may be away, as is promised.
+/// Longest promised downtime of a service, in milliseconds.
 const DOWN_MAX_MS: u64 = 9_000;
 
-/// Workers, and the services on them whose times away are measured.
+/// Workers, and the services on them whose downtime is measured.
 struct RecoveryScenario {
     sim: SchedulerSim,
     pool: Vec<WorkerEntry>,
     services: Vec<TaskKey>,
-    /// When each was last at work.
+    /// When each service task was last running.
     last_running_ms: BTreeMap<TaskKey, u64>,
     longest_down_ms: u64,
 }
@@ -29,7 +29,7 @@
         RecoveryScenario::open_with(config(), workers)
     }
 
-    /// One whose idle VMs stay.
+    /// A scenario without a standby pool, so that idle VMs stay.
     fn open_without_standby(workers: usize) -> RecoveryScenario {
         let mut config = config();
         config.pools.retain(|pool| !pool.is_standby);
@@ -60,7 +60,7 @@
         self.sim.run_until_idle();
     }
 
-    /// Hands in a service of so many tasks.
+    /// Submits a service; returns its tasks.
     fn submit_service(&mut self, id: u64, spec: StepSpec) -> Vec<TaskKey> {
         let count = spec.count;
         let id = self.sim.submit(id, job(vec![spec]));
@@ -78,7 +78,7 @@
         hosts
     }
 
-    /// VMs lose power and stay off, as the list shows half a second later.
+    /// VMs lose power and stay off; the list shows it half a second later.
     fn power_off(&mut self, ids: &[Arc<str>]) {
         for id in ids {
             let worker = self.sim.workers.get_mut(id).expect("known");
@@ -89,7 +89,7 @@
         self.list_vms(ids);
     }
 
-    /// Lets the time go on, with everything that runs at work.
+    /// Lets time pass, with all runs at full progress.
     fn advance(&mut self, ms: u64) {
         let end = self.sim.now + ms;
         while self.sim.now < end {
@@ -114,17 +114,17 @@
     }
 }
 
-/// Tasks of a core that go on for ever.
+/// Tasks of one core that practically never end.
 fn batch_step(count: u32) -> StepSpec {
     StepSpec { estimate_ms: 600_000, ..step(count) }
 }
 
-/// Services of a core that may stand beside each other.
+/// Services of one core that may share a worker.
 fn shared_service(count: u32) -> StepSpec {
     StepSpec { per_worker_max: 0, ..service_step(count) }
 }
 
-/// Four VMs of which two refuse what is started there for a second, while there is much to start.
+/// Two of four VMs refuse all starts for a second, while there is much to start.
 fn refuse_starts_for_a_second(scenario: &mut RecoveryScenario) {
     let set = |scenario: &mut RecoveryScenario, is_unhealthy| {
         for id in ["w0", "w1"] {
@@ -139,7 +139,8 @@
     scenario.cancel(batch);
 }
 
-/// Guards against a VM that stays closed for good, as its first run after a time of errors is a service.
+/// Guards against a VM that is suspended for good because its first run after a series of errors is
+/// a service.
 #[test]
 fn a_vm_tried_with_a_service_takes_more_once_it_is_serving() {
     let mut scenario = RecoveryScenario::open(4);
@@ -151,7 +152,8 @@
     assert!(scenario.longest_down_ms <= DOWN_MAX_MS, "{} ms", scenario.longest_down_ms);
 }
 
-/// Guards against a VM that stays closed for good after a time of errors, as a service stands there.
+/// Guards against a VM that is suspended for good after a series of errors because it hosts a
+/// service.
 #[test]
 fn a_vm_with_a_service_is_tried_again_after_errors() {
     let mut scenario = RecoveryScenario::open(4);
@@ -163,7 +165,8 @@
     assert!(scenario.longest_down_ms <= DOWN_MAX_MS, "{} ms", scenario.longest_down_ms);
 }
 
-/// Guards against a service whose start waits for good on a worker that answers and is not listed any more.
+/// Guards against a service whose start waits for good on a worker that answers but is no longer
+/// listed.
 #[test]
 fn a_start_goes_elsewhere_once_its_worker_is_not_listed() {
     for is_sent in [false, true] {
@@ -192,8 +195,8 @@
     }
 }
 
-/// Guards against services that are lost together and get room one after the other, each after the stop of what
-/// it displaces.
+/// Guards against services that are lost together and get capacity one after the other, each after
+/// the stop of the runs that it preempts.
 #[test]
 fn services_that_are_lost_together_preempt_others_together() {
     for steps in [1, 64] {
@@ -206,7 +209,7 @@
         scenario.sim.submit(1, job(vec![batch_step(160)]));
         scenario.advance(2_000);
         let hosts = scenario.hosts();
-        assert_eq!(hosts.len(), 8, "there is room for all of them elsewhere");
+        assert_eq!(hosts.len(), 8, "the other workers have capacity for all of them");
         scenario.power_off(&hosts);
         scenario.advance(2 * DOWN_MAX_MS);
         assert!(
@@ -217,7 +220,8 @@
     }
 }
 
-/// Guards against a service that waits for the room of a run whose stops are lost, while others could make room.
+/// Guards against a service that waits for the capacity of a run whose stops are lost, while runs
+/// on other workers could be preempted.
 #[test]
 fn a_service_preempts_others_where_stops_are_lost() {
     for losing_stops in [1, 4] {
@@ -239,7 +243,8 @@
     }
 }
 
-/// Guards against a service that is refused by the same few workers in turn, while others have room.
+/// Guards against a service that is refused by the same few workers in turn, while others have
+/// capacity.
 #[test]
 fn a_service_that_some_workers_refuse_finds_one_with_capacity() {
     for refusing in [2, 6, 20] {
@@ -262,7 +267,8 @@
     }
 }
 
-/// Guards against room that is kept for a service which does not go there, as it waits for room beside its data.
+/// Guards against capacity that is reserved for a service which does not go there, as it waits for
+/// capacity near its data.
 #[test]
 fn capacity_that_a_service_does_not_take_is_left_to_others() {
     let pool = [("w1", "r1"), ("w2", "r2")].map(|(name, rack)| worker(name, rack));
@@ -278,7 +284,8 @@
     assert_eq!(started, 8, "the far worker is empty");
 }
 
-/// Guards against a service that waits beside an empty pool, as the worker near its data is lost.
+/// Guards against a service that waits beside an empty pool because the worker near its data is
+/// lost.
 #[test]
 fn a_service_whose_data_is_out_of_reach_runs_elsewhere() {
     for estimate_ms in [1_000, 60_000] {
--- a/tests/service_waits.rs
+++ b/tests/service_waits.rs
@@ -1,4 +1,4 @@
-//! What is written down about tasks of services that are away for long.
+//! Log events about service tasks that are down for long.
 
 mod support;
 
@@ -10,7 +10,7 @@
     SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")])
 }
 
-/// Reasons that were written down for the first task of a job, in order.
+/// Reasons logged for the first task of a job, in order.
 fn logged_reasons(sim: &SchedulerSim, id: JobId) -> Vec<&'static str> {
     let logged = sim.events.iter().filter_map(|event| match event {
         SchedulerEvent::ServiceAway { task: logged, reason, .. } if *logged == task(id, 0, 0) => {
@@ -21,7 +21,7 @@
     logged.collect()
 }
 
-/// Lets time pass, and every run get to its full work.
+/// Lets time pass, and all runs reach full progress.
 fn run_at_full_progress(sim: &mut SchedulerSim, ms: u64) {
     for _ in 0..ms / 100 {
         sim.advance(100);
@@ -39,7 +39,7 @@
     assert!(logged_reasons(&sim, id).is_empty(), "{:?}", logged_reasons(&sim, id));
 }
 
-/// Guards against services that are placed and never start without a word of why.
+/// Guards against services that are placed and never start, without a logged reason.
 #[test]
 fn a_start_without_its_record_on_the_log_is_logged() {
     let mut sim = two_workers();
@@ -49,10 +49,10 @@
     let logged = logged_reasons(&sim, id);
     assert!(!logged.is_empty());
     assert!(logged.iter().all(|reason| *reason == "its record is not on the log"), "{logged:?}");
-    assert!(logged.len() <= 3, "a line each two seconds at most: {logged:?}");
+    assert!(logged.len() <= 3, "more than a line in two seconds: {logged:?}");
 }
 
-/// Guards against services that find no place without a word of why.
+/// Guards against services that find no worker, without a logged reason.
 #[test]
 fn a_service_without_capacity_is_logged() {
     let mut sim = two_workers();
@@ -63,7 +63,8 @@
     assert_eq!(logged_reasons(&sim, id), ["no worker has room"]);
 }
 
-/// Guards against services that wait on trial or for a probation, and look like ones without room.
+/// Guards against services that wait on trial or for a probation and are logged as lacking
+/// capacity.
 #[test]
 fn services_on_trial_are_logged_as_such() {
     let entries = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{n}")));
