--- a/tests/busy_pool.rs
+++ b/tests/busy_pool.rs
@@ -19,7 +19,7 @@
 /// Runs of each scene in CI; by hand two hundred.
 const RUNS: u64 = 10;
 /// Workers that a task may cost: after three crashes it may be started twice more.
-const BOUND: usize = 5;
+const LOSSES_MAX: usize = 5;
 /// Time between two looks at what is through, in milliseconds.
 const STEP_MS: u64 = 20;
 /// Time that a short task works, in milliseconds.
@@ -31,18 +31,18 @@
 
 /// What happens in a pool; times in milliseconds.
 #[derive(Clone, Copy, Debug)]
-struct BusyScene {
+struct BusyScenario {
     vms: usize,
     /// Work of the tasks that are watched, in one run.
     work_ms: u64,
     /// Tasks without fault that are watched.
-    watched: u64,
+    tracked: u64,
     /// Time for which workers are lost.
-    unrest_ms: u64,
+    loss_period_ms: u64,
     /// Time between two losses; 0 if nothing is lost but by tasks that crash their workers.
-    loss_gap_ms: u64,
+    loss_interval_ms: u64,
     /// Time from the start of the short tasks to the loss.
-    lead_ms: u64,
+    loss_delay_ms: u64,
     /// Whether short tasks start all the time.
     is_busy: bool,
     /// Time between two changes of leaders; 0 for none.
@@ -54,13 +54,13 @@
 }
 
 /// One worker of four is lost each 0.7 s, in the moment in which tasks start on all of them.
-const START_ABOARD: BusyScene = BusyScene {
+const STARTS_DURING_LOSSES: BusyScenario = BusyScenario {
     vms: 4,
     work_ms: 6_000,
-    watched: 1,
-    unrest_ms: 10_000,
-    loss_gap_ms: 700,
-    lead_ms: 0,
+    tracked: 1,
+    loss_period_ms: 10_000,
+    loss_interval_ms: 700,
+    loss_delay_ms: 0,
     is_busy: true,
     term_ms: 0,
     bad: 0,
@@ -68,27 +68,32 @@
 };
 
 /// Tasks that crash their workers in a busy pool that loses none otherwise.
-const CRASHERS: BusyScene =
-    BusyScene { work_ms: 1_500, watched: 4, loss_gap_ms: 0, bad: 1, ..START_ABOARD };
+const CRASHING_TASKS: BusyScenario = BusyScenario {
+    work_ms: 1_500,
+    tracked: 4,
+    loss_interval_ms: 0,
+    bad: 1,
+    ..STARTS_DURING_LOSSES
+};
 
 /// What the runs of a scene have shown.
 #[derive(Debug, Default)]
 struct Tally {
     /// Jobs without fault.
-    innocent: usize,
+    faultless: usize,
     /// Those that were given up.
-    wronged: usize,
+    wrongly_given_up: usize,
     /// Jobs that never ended.
     open: usize,
     /// Ages at which the jobs without fault ended, in milliseconds.
     ages_ms: Vec<u64>,
     /// The same of those that were watched.
-    watched_ages_ms: Vec<u64>,
+    tracked_ages_ms: Vec<u64>,
     /// Ages at which bad jobs were given up, in milliseconds.
     bad_ages_ms: Vec<u64>,
     bad: usize,
     given_up: usize,
-    cost_max: usize,
+    max_cost: usize,
 }
 
 impl Tally {
@@ -100,16 +105,16 @@
             format!("{mean}/{tail}/{}", all.last().copied().unwrap_or_default())
         };
         format!(
-            "wronged {} of {}, open {}; bad given up {} of {}, most workers {}; \
+            "wrongly given up {} of {}, open {}; bad given up {} of {}, most workers {}; \
              age (mean/p99/max) all {}, watched {}, bad {}",
-            self.wronged,
-            self.innocent,
+            self.wrongly_given_up,
+            self.faultless,
             self.open,
             self.given_up,
             self.bad,
-            self.cost_max,
+            self.max_cost,
             ages(&mut self.ages_ms),
-            ages(&mut self.watched_ages_ms),
+            ages(&mut self.tracked_ages_ms),
             ages(&mut self.bad_ages_ms),
         )
     }
@@ -119,11 +124,11 @@
 struct BusyPool {
     sim: SchedulerSim,
     random: StdRng,
-    scene: BusyScene,
+    scenario: BusyScenario,
     /// Work of each job's tasks; nothing for those that crash their workers.
     work_ms: BTreeMap<JobId, Option<u64>>,
-    watched: BTreeSet<JobId>,
-    handed_in_ms: BTreeMap<JobId, u64>,
+    tracked: BTreeSet<JobId>,
+    submitted_ms: BTreeMap<JobId, u64>,
     /// When each run was first seen.
     begun_ms: BTreeMap<(TaskKey, u32), u64>,
     ended: BTreeMap<JobId, (JobState, u64)>,
@@ -137,17 +142,17 @@
 }
 
 impl BusyPool {
-    fn open(scene: BusyScene, seed: u64) -> BusyPool {
-        let entries = (0..scene.vms).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4)));
+    fn open(scenario: BusyScenario, seed: u64) -> BusyPool {
+        let entries = (0..scenario.vms).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4)));
         let mut sim = SchedulerSim::open(one_pool(), entries.collect());
-        sim.crash_after_ms = scene.crash_after_ms;
+        sim.crash_after_ms = scenario.crash_after_ms;
         BusyPool {
             sim,
             random: StdRng::seed_from_u64(seed),
-            scene,
+            scenario,
             work_ms: BTreeMap::new(),
-            watched: BTreeSet::new(),
-            handed_in_ms: BTreeMap::new(),
+            tracked: BTreeSet::new(),
+            submitted_ms: BTreeMap::new(),
             begun_ms: BTreeMap::new(),
             ended: BTreeMap::new(),
             term: 1,
@@ -158,7 +163,7 @@
         let number = u64::try_from(self.work_ms.len()).expect("few jobs") + 1;
         let id = job_id(number);
         self.work_ms.insert(id, work_ms);
-        self.handed_in_ms.insert(id, self.sim.now);
+        self.submitted_ms.insert(id, self.sim.now);
         if work_ms.is_none() {
             self.sim.crashing_tasks.insert(task(id, 0, 0));
         }
@@ -167,9 +172,9 @@
     }
 
     fn submit_short(&mut self) {
-        let count = u32::try_from(self.scene.vms).expect("few");
+        let count = u32::try_from(self.scenario.vms).expect("few");
         let spread = StepSpec { per_worker_max: 1, ..step(count) };
-        self.submit(spread, Some(self.scene.lead_ms + SHORT_MS));
+        self.submit(spread, Some(self.scenario.loss_delay_ms + SHORT_MS));
     }
 
     fn lose_one(&mut self) {
@@ -179,7 +184,7 @@
     }
 
     /// Lets time pass, and ends what is through.
-    fn go_on(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
             self.sim.advance(STEP_MS);
             let now = self.sim.now;
@@ -196,12 +201,12 @@
                 }
                 over.into_iter().for_each(|(task, run)| worker.exit(task, run, ExitKind::Done));
             }
-            self.take_ends();
+            self.record_results();
         }
     }
 
-    fn take_ends(&mut self) {
-        for (id, begun) in &self.handed_in_ms {
+    fn record_results(&mut self) {
+        for (id, begun) in &self.submitted_ms {
             if self.ended.contains_key(id) {
                 continue;
             }
@@ -224,37 +229,42 @@
     }
 
     fn run(&mut self, tally: &mut Tally) {
-        let scene = self.scene;
-        self.go_on(200);
-        for _ in 0..scene.watched {
-            let id = self.submit(step(1), Some(scene.work_ms));
-            self.watched.insert(id);
+        let scenario = self.scenario;
+        self.advance(200);
+        for _ in 0..scenario.tracked {
+            let id = self.submit(step(1), Some(scenario.work_ms));
+            self.tracked.insert(id);
         }
-        for _ in 0..scene.bad {
+        for _ in 0..scenario.bad {
             self.submit(step(1), None);
         }
         // With nothing else lost, the arrivals go on until what crashes its workers is long convicted.
-        let length_ms = if scene.loss_gap_ms > 0 { scene.unrest_ms } else { SETTLE_MS / 2 };
+        let length_ms =
+            if scenario.loss_interval_ms > 0 { scenario.loss_period_ms } else { SETTLE_MS / 2 };
         let begun = self.sim.now;
-        let (mut arrival, mut loss, mut term) = (0, scene.lead_ms, scene.term_ms);
+        let (mut arrival, mut loss, mut term) = (0, scenario.loss_delay_ms, scenario.term_ms);
         while self.sim.now < begun + length_ms {
-            let at = self.sim.now - begun;
-            if scene.is_busy && at >= arrival {
-                arrival += if scene.loss_gap_ms > 0 { scene.loss_gap_ms } else { ARRIVALS_MS };
+            let elapsed = self.sim.now - begun;
+            if scenario.is_busy && elapsed >= arrival {
+                arrival += if scenario.loss_interval_ms > 0 {
+                    scenario.loss_interval_ms
+                } else {
+                    ARRIVALS_MS
+                };
                 self.submit_short();
             }
-            if scene.loss_gap_ms > 0 && at >= loss {
-                loss += scene.loss_gap_ms;
+            if scenario.loss_interval_ms > 0 && elapsed >= loss {
+                loss += scenario.loss_interval_ms;
                 self.lose_one();
             }
-            if scene.term_ms > 0 && at >= term {
-                term += scene.term_ms;
+            if scenario.term_ms > 0 && elapsed >= term {
+                term += scenario.term_ms;
                 self.term += 1;
                 self.sim.take_over(self.term, one_pool());
             }
-            self.go_on(STEP_MS);
+            self.advance(STEP_MS);
         }
-        self.go_on(SETTLE_MS);
+        self.advance(SETTLE_MS);
         self.count(tally);
     }
 
@@ -268,82 +278,87 @@
             if work_ms.is_none() {
                 tally.bad += 1;
                 tally.given_up += usize::from(is_given_up);
-                tally.cost_max = tally.cost_max.max(self.workers_lost(task(*id, 0, 0)));
+                tally.max_cost = tally.max_cost.max(self.workers_lost(task(*id, 0, 0)));
                 tally.bad_ages_ms.push(age_ms);
                 continue;
             }
-            tally.innocent += 1;
-            tally.wronged += usize::from(is_given_up);
+            tally.faultless += 1;
+            tally.wrongly_given_up += usize::from(is_given_up);
             tally.ages_ms.push(age_ms);
-            if self.watched.contains(id) {
-                tally.watched_ages_ms.push(age_ms);
+            if self.tracked.contains(id) {
+                tally.tracked_ages_ms.push(age_ms);
             }
         }
     }
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 /// Plays a scene and checks both bounds.
-fn check(scenes: &[BusyScene]) {
-    let first = number("IBISWEIR_TEST_SEED", 1);
-    let mut faults = Vec::new();
-    for scene in scenes {
+fn check(scenarios: &[BusyScenario]) {
+    let first = env_number("IBISWEIR_TEST_SEED", 1);
+    let mut failures = Vec::new();
+    for scenario in scenarios {
         let mut tally = Tally::default();
-        for seed in first..first + number("IBISWEIR_TEST_RUNS", RUNS) {
-            BusyPool::open(*scene, seed).run(&mut tally);
+        for seed in first..first + env_number("IBISWEIR_TEST_RUNS", RUNS) {
+            BusyPool::open(*scenario, seed).run(&mut tally);
         }
-        let line = format!("{scene:?}: {}", tally.line());
+        let line = format!("{scenario:?}: {}", tally.line());
         println!("{line}");
-        let is_kept = tally.wronged == 0
+        let is_passed = tally.wrongly_given_up == 0
             && tally.open == 0
             && tally.given_up == tally.bad
-            && tally.cost_max <= BOUND;
-        if !is_kept {
-            faults.push(line);
+            && tally.max_cost <= LOSSES_MAX;
+        if !is_passed {
+            failures.push(line);
         }
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 /// Guards against a pool that is taken for calm as each worker that it loses has a start aboard.
 #[test]
-fn a_busy_pool_that_loses_workers_does_not_look_calm() {
+fn a_busy_pool_that_loses_workers_does_not_look_stable() {
     check(&[
-        START_ABOARD,
-        BusyScene { work_ms: 3_000, ..START_ABOARD },
-        BusyScene { unrest_ms: 20_000, ..START_ABOARD },
-        BusyScene { term_ms: 3_000, ..START_ABOARD },
-        BusyScene { vms: 2, ..START_ABOARD },
-        BusyScene { vms: 12, loss_gap_ms: 300, ..START_ABOARD },
+        STARTS_DURING_LOSSES,
+        BusyScenario { work_ms: 3_000, ..STARTS_DURING_LOSSES },
+        BusyScenario { loss_period_ms: 20_000, ..STARTS_DURING_LOSSES },
+        BusyScenario { term_ms: 3_000, ..STARTS_DURING_LOSSES },
+        BusyScenario { vms: 2, ..STARTS_DURING_LOSSES },
+        BusyScenario { vms: 12, loss_interval_ms: 300, ..STARTS_DURING_LOSSES },
     ]);
 }
 
 /// Guards against the same where nothing starts as workers are lost.
 #[test]
-fn a_pool_that_loses_workers_after_the_starts_does_not_look_calm() {
+fn a_pool_that_loses_workers_after_the_starts_does_not_look_stable() {
     check(&[
-        BusyScene { lead_ms: 300, ..START_ABOARD },
-        BusyScene { lead_ms: 300, vms: 2, ..START_ABOARD },
-        BusyScene { lead_ms: 300, term_ms: 3_000, ..START_ABOARD },
-        BusyScene { lead_ms: 300, unrest_ms: 20_000, ..START_ABOARD },
+        BusyScenario { loss_delay_ms: 300, ..STARTS_DURING_LOSSES },
+        BusyScenario { loss_delay_ms: 300, vms: 2, ..STARTS_DURING_LOSSES },
+        BusyScenario { loss_delay_ms: 300, term_ms: 3_000, ..STARTS_DURING_LOSSES },
+        BusyScenario { loss_delay_ms: 300, loss_period_ms: 20_000, ..STARTS_DURING_LOSSES },
     ]);
 }
 
 /// Guards against tasks that crash their workers, early or late, alone or many at a time, for as long as others start
 /// there; and against their neighbours that are given up for it.
 #[test]
-fn tasks_that_crash_their_workers_are_bounded_in_busy_pools() {
-    let mut scenes = Vec::new();
+fn tasks_that_crash_their_workers_are_limited_in_busy_pools() {
+    let mut scenarios = Vec::new();
     for crash_after_ms in [10, 700, 3_000] {
         for bad in [1, 6] {
             for is_busy in [true, false] {
-                scenes.push(BusyScene { crash_after_ms, bad, is_busy, ..CRASHERS });
+                scenarios.push(BusyScenario { crash_after_ms, bad, is_busy, ..CRASHING_TASKS });
             }
         }
-        scenes.push(BusyScene { crash_after_ms, bad: 6, loss_gap_ms: 1_400, ..CRASHERS });
+        scenarios.push(BusyScenario {
+            crash_after_ms,
+            bad: 6,
+            loss_interval_ms: 1_400,
+            ..CRASHING_TASKS
+        });
     }
-    check(&scenes);
+    check(&scenarios);
 }
--- a/tests/loss_model.rs
+++ b/tests/loss_model.rs
@@ -25,7 +25,7 @@
 /// Time for everything to end once nothing new comes, in steps.
 const SETTLE_STEPS: u32 = 600;
 /// Workers that a task may cost: after three crashes it may be started twice more.
-const BOUND: usize = 5;
+const LOSSES_MAX: usize = 5;
 /// VMs of the pools; four a rack.
 const SIZES: [usize; 3] = [4, 12, 40];
 
@@ -33,11 +33,11 @@
 #[derive(Clone, Copy, Debug)]
 struct PoolLoad {
     /// Of so many jobs one crashes its workers.
-    jobs_a_bad_one: u32,
+    jobs_per_bad_one: u32,
     crashes: u32,
     rack_failures: u32,
     takeovers: u32,
-    log_turns: u32,
+    log_toggles: u32,
     /// Time between two losses of the VM that goes down and up by turns.
     flap_ms: u64,
     /// Shortest and longest time from the start of a bad task to its worker's crash.
@@ -46,11 +46,11 @@
 
 /// What the pools bear in the tests of the bound.
 const USUAL_LOAD: PoolLoad = PoolLoad {
-    jobs_a_bad_one: 60,
+    jobs_per_bad_one: 60,
     crashes: 4,
     rack_failures: 2,
     takeovers: 3,
-    log_turns: 3,
+    log_toggles: 3,
     flap_ms: 2_500,
     crash_after_ms: (10, 10),
 };
@@ -61,9 +61,9 @@
     bad: usize,
     given_up: usize,
     cost: usize,
-    cost_max: usize,
+    max_cost: usize,
     other_losses: usize,
-    innocent: usize,
+    faultless: usize,
     age_ms: u64,
 }
 
@@ -92,10 +92,10 @@
 
 impl Pool {
     fn open(size: usize, seed: u64) -> Pool {
-        Pool::open_under(USUAL_LOAD, size, seed)
+        Pool::open_with_load(USUAL_LOAD, size, seed)
     }
 
-    fn open_under(load: PoolLoad, size: usize, seed: u64) -> Pool {
+    fn open_with_load(load: PoolLoad, size: usize, seed: u64) -> Pool {
         let entries = (0..size).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect();
         Pool {
             sim: SchedulerSim::open(one_pool(), entries),
@@ -113,20 +113,20 @@
         }
     }
 
-    fn act(&mut self) {
+    fn play_step(&mut self) {
         let arrivals = self.random.random_range(0..=self.size.div_ceil(4));
         for _ in 0..arrivals {
             self.submit();
         }
         let load = self.load;
-        let racks_from = load.crashes;
-        let takeovers_from = racks_from + load.rack_failures;
-        let turns_from = takeovers_from + load.takeovers;
+        let crashes_end = load.crashes;
+        let racks_end = crashes_end + load.rack_failures;
+        let takeovers_end = racks_end + load.takeovers;
         match self.random.random_range(0..400u32) {
-            drawn if drawn < racks_from => self.crash_some(1),
-            drawn if drawn < takeovers_from => self.crash_rack(),
-            drawn if drawn < turns_from => self.take_over(),
-            drawn if drawn < turns_from + load.log_turns => {
+            drawn if drawn < crashes_end => self.crash_some(1),
+            drawn if drawn < racks_end => self.crash_rack(),
+            drawn if drawn < takeovers_end => self.take_over(),
+            drawn if drawn < takeovers_end + load.log_toggles => {
                 self.sim.is_log_up = !self.sim.is_log_up;
             }
             _ => {}
@@ -135,7 +135,7 @@
         if self.size > 4 && self.sim.now.is_multiple_of(load.flap_ms) {
             self.crash_named("w0");
         }
-        self.go_on();
+        self.advance();
     }
 
     fn submit(&mut self) {
@@ -144,7 +144,7 @@
         let need = ResourceVector { cpu, memory: 500, accelerators: 0 };
         let count = self.random.random_range(1..5);
         let key = job_id(id);
-        if self.random.random_range(0..self.load.jobs_a_bad_one) == 0 {
+        if self.random.random_range(0..self.load.jobs_per_bad_one) == 0 {
             self.sim.crashing_tasks.insert(task(key, 0, 0));
             self.bad.insert(key);
         }
@@ -179,9 +179,9 @@
         let names: Vec<String> = (rack * 4..rack * 4 + 4).map(|n| format!("w{n}")).collect();
         let ids: Vec<Arc<str>> = self.sim.workers.keys().cloned().collect();
         let is_there = |id: &&Arc<str>| names.iter().any(|name| id.split('-').next() == Some(name));
-        let struck: Vec<&str> = ids.iter().filter(is_there).map(|id| &**id).collect();
-        self.other_losses += struck.len();
-        self.sim.crash_all(&struck);
+        let lost: Vec<&str> = ids.iter().filter(is_there).map(|id| &**id).collect();
+        self.other_losses += lost.len();
+        self.sim.crash_all(&lost);
     }
 
     fn take_over(&mut self) {
@@ -190,7 +190,7 @@
     }
 
     /// Lets a tenth of a second pass, and what is through end.
-    fn go_on(&mut self) {
+    fn advance(&mut self) {
         let (least_ms, most_ms) = self.load.crash_after_ms;
         if least_ms < most_ms {
             self.sim.crash_after_ms = self.crash_random.random_range(least_ms..=most_ms);
@@ -208,10 +208,10 @@
             }
             over.into_iter().for_each(|(task, run)| worker.exit(task, run, ExitKind::Done));
         }
-        self.take_ends();
+        self.record_results();
     }
 
-    fn take_ends(&mut self) {
+    fn record_results(&mut self) {
         for (id, begun) in &self.begun {
             if self.ended.contains_key(id) {
                 continue;
@@ -227,16 +227,17 @@
     }
 
     /// Jobs that were given up without a task that crashes workers; tells what became of their tasks.
-    fn wronged(&self) -> Vec<JobId> {
-        let is_wronged = |(id, state): &(&JobId, &JobState)| {
+    fn wrongly_given_up(&self) -> Vec<JobId> {
+        let is_wrongly_given_up = |(id, state): &(&JobId, &JobState)| {
             **state == JobState::Failed && !self.bad.contains(*id)
         };
-        let wronged: Vec<JobId> = self.ended.iter().filter(is_wronged).map(|(id, _)| *id).collect();
-        for id in &wronged {
+        let wrongly_given_up: Vec<JobId> =
+            self.ended.iter().filter(is_wrongly_given_up).map(|(id, _)| *id).collect();
+        for id in &wrongly_given_up {
             let notes = self.sim.events.iter().map(|note| format!("{note:?}"));
             notes.filter(|note| note.contains(&id.to_string())).for_each(|note| println!("{note}"));
         }
-        wronged
+        wrongly_given_up
     }
 
     /// Runs of a task that ended with their workers, by whatever cause.
@@ -256,11 +257,11 @@
 
     fn run(&mut self, tally: &mut Tally) {
         for _ in 0..STEPS {
-            self.act();
+            self.play_step();
         }
         self.sim.is_log_up = true;
         for _ in 0..SETTLE_STEPS {
-            self.go_on();
+            self.advance();
         }
         tally.other_losses += self.other_losses;
         tally.age_ms += self.age_ms;
@@ -268,42 +269,42 @@
             let state = self.ended.get(id).copied();
             let Some(state) = state else { panic!("{id} never ends") };
             if !self.bad.contains(id) {
-                tally.innocent += 1;
+                tally.faultless += 1;
                 continue;
             }
             let cost = self.workers_lost(task(*id, 0, 0));
             tally.bad += 1;
             tally.cost += cost;
-            tally.cost_max = tally.cost_max.max(cost);
+            tally.max_cost = tally.max_cost.max(cost);
             tally.given_up += usize::from(state == JobState::Failed);
         }
     }
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn tasks_that_crash_their_workers_are_bounded_and_nobody_else_is_given_up() {
-    check(USUAL_LOAD, number("IBISWEIR_TEST_SEED", 1), &SIZES);
+fn tasks_that_crash_their_workers_are_limited_and_no_other_is_given_up() {
+    check(USUAL_LOAD, env_number("IBISWEIR_TEST_SEED", 1), &SIZES);
 }
 
 /// Guards against jobs without fault that are given up beside many tasks that crash their workers.
 #[test]
-fn nobody_is_given_up_for_what_one_job_in_ten_does() {
+fn no_other_job_is_given_up_where_one_in_ten_crashes_workers() {
     check(
-        PoolLoad { jobs_a_bad_one: 10, ..USUAL_LOAD },
-        number("IBISWEIR_TEST_SEED", 810_018),
+        PoolLoad { jobs_per_bad_one: 10, ..USUAL_LOAD },
+        env_number("IBISWEIR_TEST_SEED", 810_018),
         harsh_sizes(),
     );
 }
 
 /// Guards against jobs without fault that are given up as each leader forgets whom a loss was counted against.
 #[test]
-fn nobody_is_given_up_for_what_an_earlier_leader_knew() {
-    let load = PoolLoad { jobs_a_bad_one: 10, takeovers: 30, ..USUAL_LOAD };
-    check(load, number("IBISWEIR_TEST_SEED", 810_003), harsh_sizes());
+fn no_other_job_is_given_up_where_leaders_change_often() {
+    let load = PoolLoad { jobs_per_bad_one: 10, takeovers: 30, ..USUAL_LOAD };
+    check(load, env_number("IBISWEIR_TEST_SEED", 810_003), harsh_sizes());
 }
 
 /// Four times the usual trouble of other kinds.
@@ -311,15 +312,15 @@
     crashes: 16,
     rack_failures: 8,
     takeovers: 12,
-    log_turns: 12,
+    log_toggles: 12,
     flap_ms: 600,
     ..USUAL_LOAD
 };
 
 /// Guards against jobs without fault that are given up where workers are lost for other reasons all the time.
 #[test]
-fn nobody_is_given_up_where_workers_are_lost_all_the_time() {
-    check(HARSH_LOAD, number("IBISWEIR_TEST_SEED", 810_004), harsh_sizes());
+fn no_other_job_is_given_up_where_workers_are_lost_all_the_time() {
+    check(HARSH_LOAD, env_number("IBISWEIR_TEST_SEED", 810_004), harsh_sizes());
 }
 
 /// Guards against tasks that crash their workers some time after their start, which a count that excuses losses among
@@ -329,7 +330,7 @@
     for load in [USUAL_LOAD, HARSH_LOAD] {
         for crash_after_ms in [(700, 700), (100, 2_000)] {
             let load = PoolLoad { crash_after_ms, ..load };
-            check(load, number("IBISWEIR_TEST_SEED", 830_000), late_sizes());
+            check(load, env_number("IBISWEIR_TEST_SEED", 830_000), late_sizes());
         }
     }
 }
@@ -337,10 +338,10 @@
 /// Guards against a job without fault that is given up as several of its losses came just as it started.
 #[test]
 fn a_task_that_loses_workers_at_its_starts_by_chance_is_served() {
-    let mut pool = Pool::open_under(HARSH_LOAD, 4, 810_013);
+    let mut pool = Pool::open_with_load(HARSH_LOAD, 4, 810_013);
     pool.run(&mut Tally::default());
-    let wronged = pool.wronged();
-    assert!(wronged.is_empty(), "innocent jobs were given up: {wronged:?}");
+    let wrongly_given_up = pool.wrongly_given_up();
+    assert!(wrongly_given_up.is_empty(), "jobs without fault were given up: {wrongly_given_up:?}");
 }
 
 /// In CI the small pools, of which each loses the most.
@@ -354,19 +355,19 @@
 }
 
 fn check(load: PoolLoad, first: u64, sizes: &[usize]) {
-    let mut wronged = Vec::new();
+    let mut wrongly_given_up = Vec::new();
     for &size in sizes {
         let mut tally = Tally::default();
-        for seed in first..first + number("IBISWEIR_TEST_RUNS", RUNS) {
-            let mut pool = Pool::open_under(load, size, seed);
+        for seed in first..first + env_number("IBISWEIR_TEST_RUNS", RUNS) {
+            let mut pool = Pool::open_with_load(load, size, seed);
             pool.run(&mut tally);
-            wronged.extend(pool.wronged().into_iter().map(|id| (size, seed, id)));
+            wrongly_given_up.extend(pool.wrongly_given_up().into_iter().map(|id| (size, seed, id)));
         }
         println!("{size} VMs: {tally:?}");
-        assert!(tally.cost_max <= BOUND, "size {size}: {tally:?}");
+        assert!(tally.max_cost <= LOSSES_MAX, "size {size}: {tally:?}");
         assert_eq!(tally.given_up, tally.bad, "size {size}: one runs on");
     }
-    assert!(wronged.is_empty(), "innocent jobs were given up: {wronged:?}");
+    assert!(wrongly_given_up.is_empty(), "jobs without fault were given up: {wrongly_given_up:?}");
 }
 
 /// Pools that lose a worker every one to three seconds for other reasons. In each of these seeds one innocent task
@@ -374,11 +375,11 @@
 /// reason ("it has lost too many workers").
 #[test]
 fn a_task_that_loses_five_workers_without_fault_is_served() {
-    let mut wronged = Vec::new();
+    let mut wrongly_given_up = Vec::new();
     for (size, seed) in [(4, 1062), (12, 1057)] {
         let mut pool = Pool::open(size, seed);
         pool.run(&mut Tally::default());
-        wronged.extend(pool.wronged().into_iter().map(|id| (size, seed, id)));
+        wrongly_given_up.extend(pool.wrongly_given_up().into_iter().map(|id| (size, seed, id)));
     }
-    assert!(wronged.is_empty(), "innocent jobs were given up: {wronged:?}");
+    assert!(wrongly_given_up.is_empty(), "jobs without fault were given up: {wrongly_given_up:?}");
 }
--- a/tests/restart_model.rs
+++ b/tests/restart_model.rs
@@ -23,27 +23,27 @@
 const JOBS: usize = 6;
 
 /// What may happen next.
-const KINDS: [LifeEvent; 12] = [
-    LifeEvent::Submit,
-    LifeEvent::Submit,
-    LifeEvent::TurnLate,
-    LifeEvent::TurnSilent,
-    LifeEvent::BeginAnew,
-    LifeEvent::DeliverLate,
-    LifeEvent::MuteRenewals,
-    LifeEvent::TakeOver,
-    LifeEvent::ShowEntries,
-    LifeEvent::ListVms,
-    LifeEvent::EndRun,
-    LifeEvent::Pause,
+const KINDS: [WorkerEvent; 12] = [
+    WorkerEvent::Submit,
+    WorkerEvent::Submit,
+    WorkerEvent::TurnLate,
+    WorkerEvent::TurnSilent,
+    WorkerEvent::Restart,
+    WorkerEvent::DeliverLate,
+    WorkerEvent::MuteRenewals,
+    WorkerEvent::TakeOver,
+    WorkerEvent::ShowEntries,
+    WorkerEvent::ListVms,
+    WorkerEvent::EndRun,
+    WorkerEvent::Pause,
 ];
 
 #[derive(Clone, Copy, Debug)]
-enum LifeEvent {
+enum WorkerEvent {
     Submit,
     TurnLate,
     TurnSilent,
-    BeginAnew,
+    Restart,
     DeliverLate,
     MuteRenewals,
     TakeOver,
@@ -53,22 +53,22 @@
     Pause,
 }
 
-struct LifeHistory {
+struct EventHistory {
     sim: SchedulerSim,
     random: StdRng,
     keys: Vec<TaskKey>,
     term: u64,
-    told: Vec<String>,
+    events: Vec<String>,
 }
 
-impl LifeHistory {
-    fn open(seed: u64) -> LifeHistory {
+impl EventHistory {
+    fn open(seed: u64) -> EventHistory {
         let entry = |number| worker(&format!("w{number}"), &format!("r{number}"));
         let mut sim =
             SchedulerSim::open_with_incarnations(config(), (1..=WORKERS).map(entry).collect());
         sim.are_restarts_hidden = true;
         let random = StdRng::seed_from_u64(seed);
-        LifeHistory { sim, random, keys: Vec::new(), term: 1, told: Vec::new() }
+        EventHistory { sim, random, keys: Vec::new(), term: 1, events: Vec::new() }
     }
 
     fn draw_worker(&mut self) -> Arc<str> {
@@ -76,34 +76,34 @@
         self.sim.workers.keys().nth(drawn).expect("each worker has a life").clone()
     }
 
-    fn play(&mut self, event: LifeEvent, id: &Arc<str>) {
+    fn play(&mut self, event: WorkerEvent, id: &Arc<str>) {
         let worker = self.sim.workers.get_mut(id).expect("known");
         match event {
-            LifeEvent::Submit if self.keys.len() < JOBS => {
+            WorkerEvent::Submit if self.keys.len() < JOBS => {
                 let number = self.keys.len() as u64 + 1;
                 let job = self.sim.submit(number, job(vec![step(1)]));
                 self.keys.push(task(job, 0, 0));
             }
-            LifeEvent::TurnLate => worker.is_late = !worker.is_late,
-            LifeEvent::TurnSilent => worker.is_silent = !worker.is_silent,
-            LifeEvent::BeginAnew => {
+            WorkerEvent::TurnLate => worker.is_late = !worker.is_late,
+            WorkerEvent::TurnSilent => worker.is_silent = !worker.is_silent,
+            WorkerEvent::Restart => {
                 worker.late.retain(|call| call.fence >= worker.fence);
                 self.sim.restart_worker(id);
             }
-            LifeEvent::DeliverLate => self.sim.deliver_late(id),
-            LifeEvent::MuteRenewals => self.sim.are_renewals_muted = !self.sim.are_renewals_muted,
-            LifeEvent::TakeOver => {
+            WorkerEvent::DeliverLate => self.sim.deliver_late(id),
+            WorkerEvent::MuteRenewals => self.sim.are_renewals_muted = !self.sim.are_renewals_muted,
+            WorkerEvent::TakeOver => {
                 self.term += 1;
                 self.sim.take_over(self.term, config());
             }
-            LifeEvent::ShowEntries => self.sim.show_restarts(),
-            LifeEvent::ListVms => self.sim.list_vms(),
-            LifeEvent::EndRun => {
+            WorkerEvent::ShowEntries => self.sim.show_restarts(),
+            WorkerEvent::ListVms => self.sim.list_vms(),
+            WorkerEvent::EndRun => {
                 if let Some((key, run)) = worker.running.keys().next().copied() {
                     self.sim.end_run(key, run, id, ExitKind::Done);
                 }
             }
-            LifeEvent::Submit | LifeEvent::Pause => {}
+            WorkerEvent::Submit | WorkerEvent::Pause => {}
         }
     }
 
@@ -111,33 +111,33 @@
     fn step(&mut self) -> Option<TaskKey> {
         let id = self.draw_worker();
         let event = KINDS[self.random.random_range(0..KINDS.len())];
-        self.told.push(format!("{} {id} {event:?}", self.sim.now));
+        self.events.push(format!("{} {id} {event:?}", self.sim.now));
         self.play(event, &id);
         let pause = self.random.random_range(0..PAUSE_MS);
-        self.doubled().or_else(|| {
+        self.doubled_task().or_else(|| {
             self.sim.advance(pause);
-            self.doubled()
+            self.doubled_task()
         })
     }
 
-    fn doubled(&self) -> Option<TaskKey> {
+    fn doubled_task(&self) -> Option<TaskKey> {
         self.keys.iter().copied().find(|key| self.sim.alive(*key) > 1)
     }
 }
 
-fn number(name: &str, usual: u64) -> u64 {
+fn env_number(name: &str, usual: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
 /// Guards against tasks that run twice as a life of a worker is taken for over, or for another, by what is told of it.
 #[test]
-fn no_task_runs_twice_in_any_order_of_what_is_told_of_lives() {
-    let first = number("IBISWEIR_TEST_SEED", 1);
+fn no_task_runs_twice_in_any_order_of_events() {
+    let first = env_number("IBISWEIR_TEST_SEED", 1);
     let mut broken = Vec::new();
-    for seed in first..first + number("IBISWEIR_TEST_RUNS", RUNS) {
-        let mut history = LifeHistory::open(seed);
+    for seed in first..first + env_number("IBISWEIR_TEST_RUNS", RUNS) {
+        let mut history = EventHistory::open(seed);
         if let Some(key) = (0..EVENTS).find_map(|_| history.step()) {
-            println!("seed {seed}, {key:?} runs twice: {:#?}", history.told);
+            println!("seed {seed}, {key:?} runs twice: {:#?}", history.events);
             broken.push(seed);
         }
     }
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -16,7 +16,7 @@
 /// Workers that a task may cost until it is given up: one that it shares with others, two that name it.
 const WORKERS_LOST_MAX: usize = 3;
 /// The same where nothing names it: after three crashes it may be started twice more.
-const BOUND: usize = 5;
+const LOSSES_MAX: usize = 5;
 
 /// A stage of four workers.
 fn four_workers() -> SchedulerSim {
@@ -25,7 +25,7 @@
 }
 
 /// Lets time pass and ends what has been at work for a second.
-fn work(sim: &mut SchedulerSim, ms: u64) {
+fn run_tasks(sim: &mut SchedulerSim, ms: u64) {
     for _ in 0..ms / 100 {
         sim.advance(100);
         let running = sim.workers.iter_mut().filter(|(_, worker)| !worker.is_silent);
@@ -75,19 +75,19 @@
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up_and_the_others_are_served() {
     let mut sim = four_workers();
-    let innocent: Vec<JobId> = (1..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
+    let faultless: Vec<JobId> = (1..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
     sim.crashing_tasks.insert(task(job_id(7), 0, 0));
     let bad = sim.submit(7, job(vec![step(4)]));
     let later: Vec<JobId> = (8..=12).map(|n| sim.submit(n, job(vec![step(3)]))).collect();
-    work(&mut sim, 15_000);
+    run_tasks(&mut sim, 15_000);
 
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(are_completed(&sim, &innocent) && are_completed(&sim, &later));
+    assert!(are_completed(&sim, &faultless) && are_completed(&sim, &later));
 }
 
 /// What the log tells of the workers lost under a task.
-fn told_losses(sim: &SchedulerSim, key: TaskKey) -> LossCount {
+fn logged_losses(sim: &SchedulerSim, key: TaskKey) -> LossCount {
     let progress = sim.book.get(key.job).and_then(|job| job.progress.clone());
     let setbacks = progress.map(|progress| progress.restarts.clone()).unwrap_or_default();
     let told = setbacks.iter().find(|told| (told.step, told.index) == (key.step, key.index));
@@ -104,7 +104,7 @@
 /// is in the record that took the run off the books, and the next leader goes on from there. One that has not
 /// seen the start can't tell that the task was just starting, so only the bound holds.
 #[test]
-fn leaders_that_change_after_each_loss_forget_none() {
+fn no_loss_is_forgotten_when_the_leader_changes_after_each() {
     let mut sim = four_workers();
     let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     let mut term = 1;
@@ -117,13 +117,13 @@
         }
     }
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
+    assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
 /// Two leaders take over within a second while the third start of a task that crashes its workers may be on
 /// its way. Neither has seen the start; the run is on the log, and its worker's end counts for both.
 #[test]
-fn two_leaders_within_a_second_cost_no_more_workers_than_the_bound() {
+fn two_leaders_within_a_second_cost_no_more_workers_than_the_limit() {
     let mut sim = four_workers();
     let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     for term in 2..40 {
@@ -133,13 +133,13 @@
         sim.advance(700);
     }
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
+    assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
 /// The news of one lost worker comes by a start that another life refuses, by a renewal, by the VM list and
 /// by the end of its entry, and some of it twice. Callers' jobs that were there are charged with one loss.
 #[test]
-fn the_same_loss_by_several_ways_counts_once() {
+fn a_loss_that_is_reported_in_several_ways_counts_once() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -154,7 +154,7 @@
     sim.scheduler.worker_unlisted(&gone, sim.now);
     sim.advance(1_000);
 
-    assert_eq!(told_losses(&sim, key), LossCount { total: 1, at_start: 1 });
+    assert_eq!(logged_losses(&sim, key), LossCount { total: 1, at_start: 1 });
 }
 
 /// A worker is cut off for so long that its leases run out; the tasks start elsewhere, and what is known then
@@ -169,29 +169,29 @@
     sim.workers.get_mut(&place).expect("known").is_silent = true;
     sim.advance(8_000);
     assert_eq!(sim.starts(key), 2);
-    assert_eq!(told_losses(&sim, key).total, 1);
+    assert_eq!(logged_losses(&sim, key).total, 1);
 
     sim.workers.get_mut(&place).expect("known").is_silent = false;
     sim.advance(1_000);
-    assert_eq!(told_losses(&sim, key), LossCount::default());
+    assert_eq!(logged_losses(&sim, key), LossCount::default());
 }
 
 /// The VM list is away and the log shows no end of an entry, so that crashes are learned of only when leases
 /// have run out, seconds late. The bound holds all the same.
 #[test]
-fn losses_that_are_learned_of_late_count_too() {
+fn losses_that_are_noticed_late_count_too() {
     let mut sim = four_workers();
     sim.restart_ms = 20_000;
     let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     sim.advance(120_000);
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.starts(task(bad, 0, 0)) <= BOUND, "{}", sim.starts(task(bad, 0, 0)));
+    assert!(sim.starts(task(bad, 0, 0)) <= LOSSES_MAX, "{}", sim.starts(task(bad, 0, 0)));
 }
 
 /// The start's answer never comes: the worker is gone before it. The next start is sent only when that
 /// worker's end is known, and both are counted.
 #[test]
-fn a_start_without_an_answer_counts_as_well() {
+fn the_loss_of_an_unanswered_start_counts() {
     let mut sim = four_workers();
     sim.is_start_answered = false;
     let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
@@ -204,21 +204,21 @@
 /// it at its start, and what runs beside it is lost as often: it is given up for the number of workers, and
 /// nobody else is, as it is alone on probation before the last of them.
 #[test]
-fn a_task_that_crashes_its_workers_later_is_bounded_too() {
+fn a_task_that_crashes_its_workers_later_is_limited_too() {
     let mut sim = four_workers();
     sim.crash_after_ms = 700;
     let others: Vec<JobId> = (2..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
     let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
-    work(&mut sim, 60_000);
+    run_tasks(&mut sim, 60_000);
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
+    assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
     assert!(are_completed(&sim, &others));
 }
 
 /// Tasks that last may fail as often as they like, but not take one worker after the other: the same bound
 /// holds, for those that take what others leave too.
 #[test]
-fn tasks_that_last_and_best_effort_tasks_have_the_same_bound() {
+fn services_and_best_effort_services_have_the_same_limit() {
     for is_best_effort in [false, true] {
         let mut sim = four_workers();
         let lasting = StepSpec { is_best_effort, ..service_step(2) };
@@ -232,7 +232,7 @@
 /// One member of a gang takes its worker with it, and with that the whole gang, each time. The gang is given
 /// up as soon as a task would be.
 #[test]
-fn a_gang_with_such_a_member_has_the_same_bound() {
+fn a_gang_with_such_a_member_has_the_same_limit() {
     let mut sim = four_workers();
     let gang = StepSpec { is_gang: true, per_worker_max: 1, ..step(3) };
     let bad = submit_bad(&mut sim, 1, job(vec![gang]));
@@ -243,12 +243,12 @@
 
 /// The task is in a second step, which begins when the first is done.
 #[test]
-fn a_later_step_has_the_same_bound() {
+fn a_later_step_has_the_same_limit() {
     let mut sim = four_workers();
     sim.crashing_tasks.insert(task(job_id(1), 1, 0));
     let second = StepSpec { after: vec![0], ..step(2) };
     let bad = sim.submit(1, job(vec![step(2), second]));
-    work(&mut sim, 20_000);
+    run_tasks(&mut sim, 20_000);
     assert_eq!(sim.state(bad), Some(JobState::Failed));
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
@@ -275,33 +275,33 @@
 /// A rack loses power again and again, with all that runs there. Nothing that ran there is to blame: every
 /// caller's job is served, however often its tasks were just starting.
 #[test]
-fn racks_that_fail_name_nobody() {
+fn rack_failures_identify_no_task() {
     let mut sim = four_workers();
     let mut ids = Vec::new();
     for round in 0..8 {
         let now = round * 6;
         ids.extend((now..now + 6).map(|n| sim.submit(n + 1, job(vec![step(4)]))));
-        work(&mut sim, 300);
+        run_tasks(&mut sim, 300);
         let racks = sim.workers.keys().filter(|id| id.starts_with(['w']));
         let rack: Vec<Arc<str>> =
             racks.filter(|id| id.starts_with("w1") || id.starts_with("w3")).cloned().collect();
         sim.crash_all(&rack.iter().map(|id| &**id).collect::<Vec<_>>());
-        work(&mut sim, 2_000);
+        run_tasks(&mut sim, 2_000);
     }
-    work(&mut sim, 20_000);
+    run_tasks(&mut sim, 20_000);
     assert!(are_completed(&sim, &ids));
 }
 
 /// Suspects wait for a worker of their own, and half of the pool is kept for the rest: a caller whose job has
 /// nothing to do with it gets its start at once.
 #[test]
-fn a_suspect_on_probation_leaves_room_for_the_rest_of_the_pool() {
+fn a_suspect_on_probation_leaves_workers_to_the_rest_of_the_pool() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
     let many: Vec<JobId> = (1..=3).map(|n| sim.submit(n, job(vec![step(1)]))).collect();
     sim.crash_all(&["w1", "w2"]);
     let rest = sim.submit(9, job(vec![step(1)]));
     assert_eq!(sim.starts(task(rest, 0, 0)), 1);
-    work(&mut sim, 5_000);
+    run_tasks(&mut sim, 5_000);
     assert!(are_completed(&sim, &many) && are_completed(&sim, &[rest]));
 }
 
@@ -310,7 +310,7 @@
 /// news of the other worker comes a quarter of a second after that of its own ("does not answer" at 12.37 s and
 /// 12.59 s in the log of such a case, "given up" at 12.52 s).
 #[test]
-fn failures_that_follow_each_other_take_no_job_along() {
+fn unrelated_failures_in_a_row_give_up_no_job() {
     for second_ms in [0, 260] {
         let pool = (1..=6).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 3)));
         let mut sim = SchedulerSim::open(config(), pool.collect());
@@ -329,7 +329,7 @@
         sim.crash(&second);
         sim.advance(second_ms);
         sim.crash(&other);
-        work(&mut sim, 10_000);
+        run_tasks(&mut sim, 10_000);
         assert!(are_completed(&sim, &many), "second news after {second_ms} ms");
     }
 }
@@ -338,7 +338,7 @@
 /// the second and then on the third: neither answers, so its start is never sent. They were lost under nothing,
 /// and the caller's job is served by the fourth.
 #[test]
-fn workers_that_die_before_the_start_is_sent_count_for_nothing() {
+fn workers_that_die_before_the_start_is_sent_do_not_count() {
     let mut sim = four_workers();
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -352,15 +352,15 @@
         sim.advance(100);
         sim.crash(id);
     }
-    assert_eq!(told_losses(&sim, key), LossCount { total: 1, at_start: 1 });
-    work(&mut sim, 5_000);
+    assert_eq!(logged_losses(&sim, key), LossCount { total: 1, at_start: 1 });
+    run_tasks(&mut sim, 5_000);
     assert_eq!(sim.starts(key), 2, "the one that was lost and the one that is done");
     assert!(are_completed(&sim, &[id]));
 }
 
 /// The queue's policy allows the step on two workers of four only. The bound is the same.
 #[test]
-fn a_task_with_permits_has_the_same_bound() {
+fn a_task_with_permits_has_the_same_limit() {
     let mut config = config();
     config.queues[0].permits = Some(PermitPolicy { call_ms: 5, worker_ms: 1, valid_ms: 60_000 });
     let pool = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 2))).collect();
@@ -375,13 +375,13 @@
         }
     }
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
+    assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
 /// The next start waits in its lane, or in another entry's hands, when the last loss is learned of and the job is
 /// given up. It must not go out any more.
 #[test]
-fn a_start_in_hand_does_not_go_out_once_its_job_is_given_up() {
+fn a_waiting_start_is_not_sent_once_its_job_is_given_up() {
     let mut sim = four_workers();
     let bad = submit_bad(&mut sim, 1, job(vec![step(2)]));
     let other = task(bad, 0, 1);
@@ -398,7 +398,7 @@
 /// No executor could take a start, and the worker that it was for is lost before it is sent another way. It was
 /// lost under nothing.
 #[test]
-fn a_start_that_nobody_could_take_counts_for_nothing() {
+fn a_start_that_was_never_sent_does_not_count() {
     let mut sim = four_workers();
     sim.is_lane_held = true;
     let id = sim.submit(1, job(vec![step(1)]));
@@ -408,14 +408,14 @@
     let places = ["w1", "w2", "w3", "w4"];
     let place = places.iter().find(|place| sim.scheduled_on(place) > 0).expect("it is placed");
     sim.crash(place);
-    assert_eq!(told_losses(&sim, key), LossCount::default());
+    assert_eq!(logged_losses(&sim, key), LossCount::default());
     sim.is_lane_held = false;
-    work(&mut sim, 3_000);
+    run_tasks(&mut sim, 3_000);
     assert!(are_completed(&sim, &[id]));
 }
 
 /// Lets time pass until a task is started anew.
-fn until_restarted(sim: &mut SchedulerSim, key: TaskKey, starts: usize) {
+fn advance_until_restarted(sim: &mut SchedulerSim, key: TaskKey, starts: usize) {
     for _ in 0..200 {
         if sim.starts(key) > starts {
             return;
@@ -427,7 +427,7 @@
 /// A task has lost two workers at its start. The third goes together with another one of the pool, which was at
 /// work: the failure is larger than the task, and its caller's job must be served.
 #[test]
-fn a_third_loss_that_strikes_another_worker_too_names_nobody() {
+fn a_third_loss_beside_that_of_another_worker_identifies_no_task() {
     let pool = (1..=6).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
     let mut sim = SchedulerSim::open(config(), pool);
     let rest = sim.submit(2, job(vec![StepSpec { per_worker_max: 1, ..step(6) }]));
@@ -436,27 +436,27 @@
     let key = task(id, 0, 0);
     for starts in 1..=2 {
         sim.crash(&sim.place(key));
-        until_restarted(&mut sim, key, starts);
+        advance_until_restarted(&mut sim, key, starts);
     }
     let third = sim.place(key);
     let other = sim.workers.keys().find(|id| **id != third && !id.contains('-')).cloned();
     sim.crash_all(&[&third, &other.expect("one that was never lost")]);
-    work(&mut sim, 5_000);
+    run_tasks(&mut sim, 5_000);
     assert!(are_completed(&sim, &[id, rest]));
 }
 
 /// The only VM of a pool goes down and up by turns, three times just as a task starts. The VM is no witness: the
 /// caller's job must be served.
 #[test]
-fn a_vm_that_goes_down_and_up_names_nobody() {
+fn a_flapping_vm_identifies_no_task() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
     for starts in 1..=3 {
         sim.crash(&sim.place(key));
-        until_restarted(&mut sim, key, starts);
+        advance_until_restarted(&mut sim, key, starts);
     }
-    work(&mut sim, 5_000);
+    run_tasks(&mut sim, 5_000);
     assert!(are_completed(&sim, &[id]));
 }
 
@@ -467,7 +467,7 @@
     let mut sim = four_workers();
     let suspect = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     sim.crash(&sim.place(suspect));
-    until_restarted(&mut sim, suspect, 1);
+    advance_until_restarted(&mut sim, suspect, 1);
     let other = task(sim.submit(2, job(vec![step(1)])), 0, 0);
     assert_ne!(sim.place(other), sim.place(suspect));
 }
@@ -479,7 +479,7 @@
 
 /// Guards against a task that goes back to a VM that goes down and up by turns, until it is given up for it.
 #[test]
-fn a_task_that_has_lost_workers_goes_to_a_steady_vm() {
+fn a_task_that_has_lost_workers_avoids_their_vms() {
     let mut sim = four_workers();
     let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     let mut vms = Vec::new();
@@ -501,16 +501,16 @@
     let mut sim = four_workers();
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
-    for _ in 0..BOUND {
+    for _ in 0..LOSSES_MAX {
         sim.advance(2_500);
         let place = sim.place(key);
         sim.crash(&place);
     }
-    assert_eq!(told_losses(&sim, key).total, 5);
-    assert_eq!(sim.state(id), Some(JobState::Running), "the verdict waits");
+    assert_eq!(logged_losses(&sim, key).total, 5);
+    assert_eq!(sim.state(id), Some(JobState::Running), "the decision is pending");
     sim.take_over(2, config());
     sim.advance(3_000);
-    assert_eq!((sim.starts(key), sim.state(id)), (BOUND, Some(JobState::Failed)));
+    assert_eq!((sim.starts(key), sim.state(id)), (LOSSES_MAX, Some(JobState::Failed)));
 }
 
 /// A task that has lost three workers, each a while after its start; the last one together with a worker that
@@ -527,13 +527,13 @@
     let place = sim.place(key);
     let other = sim.workers.keys().find(|id| **id != place).cloned().expect("another");
     sim.crash_all(&[&place, &other]);
-    assert_eq!(told_losses(sim, key).total, 3);
+    assert_eq!(logged_losses(sim, key).total, 3);
     key
 }
 
 /// Guards against a start that would decide on a task while its pool loses workers of other causes.
 #[test]
-fn a_task_on_trial_waits_until_its_pool_is_calm() {
+fn a_task_on_trial_waits_until_its_pool_is_stable() {
     let mut sim = four_workers();
     let key = on_trial(&mut sim);
     sim.advance(2_000);
@@ -570,7 +570,7 @@
     }
     let other = sim.workers.keys().find(|id| **id != place).cloned().expect("another");
     sim.crash_all(&[&place, &other]);
-    assert_eq!(told_losses(sim, key).total, 3);
+    assert_eq!(logged_losses(sim, key).total, 3);
     key
 }
 
@@ -585,7 +585,7 @@
 
 /// Guards against a start in a pool whose losses are explained by starts that are about to be outlived.
 #[test]
-fn a_task_on_trial_waits_until_starts_are_outlived() {
+fn a_task_on_trial_waits_until_tasks_have_survived_their_starts() {
     let mut sim = four_workers();
     let key = on_trial_beside_starts(&mut sim, false);
     sim.advance(2_500);
@@ -596,7 +596,7 @@
 
 /// Guards against a successor that takes a pool for calm, as its losses were explained when they were written down.
 #[test]
-fn a_loss_that_a_start_explains_no_longer_is_told_to_the_next_leader() {
+fn a_loss_that_is_no_longer_explained_is_logged_for_the_next_leader() {
     let mut sim = four_workers();
     let key = on_trial_beside_starts(&mut sim, false);
     sim.advance(500);
@@ -616,7 +616,7 @@
         sim.advance(70_000);
         sim.crash(&sim.place(key));
     }
-    assert_eq!((told_losses(&sim, key).total, sim.alive(key)), (3, 0));
+    assert_eq!((logged_losses(&sim, key).total, sim.alive(key)), (3, 0));
     sim.advance(1_600);
     submit_bad(&mut sim, 2, job(vec![step(1)]));
     sim.advance(900);
@@ -626,7 +626,7 @@
 
 /// Guards against a pool that is taken for calm as a task was on each worker that it lost, by chance.
 #[test]
-fn a_pool_is_watched_without_a_task_on_trial() {
+fn a_pool_is_observed_without_a_task_on_trial() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
     let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     for _ in 0..3 {
@@ -667,7 +667,7 @@
         let all: Vec<Arc<str>> = sim.workers.keys().cloned().collect();
         sim.crash_all(&all.iter().map(|id| &**id).collect::<Vec<_>>());
     }
-    assert_eq!(told_losses(&sim, task(id, 0, 0)).total, 3);
+    assert_eq!(logged_losses(&sim, task(id, 0, 0)).total, 3);
     sim.advance(2_000);
     let starts: Vec<usize> = (0..4).map(|index| sim.starts(task(id, 0, index))).collect();
     assert_eq!(starts, vec![3; 4]);
@@ -687,12 +687,12 @@
         sim.restart_worker(&present);
         sim.show_restarts();
     }
-    assert_eq!(told_losses(&sim, task(id, 0, 0)).total, 1);
+    assert_eq!(logged_losses(&sim, task(id, 0, 0)).total, 1);
 }
 
 /// Guards against a neighbour that is given up for a loss of which another task is convicted in the same moment.
 #[test]
-fn a_conviction_comes_before_the_verdicts_on_its_neighbours() {
+fn an_identified_cause_clears_its_neighbours_first() {
     let pool = (1..=3).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
     let mut sim = SchedulerSim::open(config(), pool);
     let id = sim.submit(1, job(vec![step(1)]));
@@ -702,7 +702,7 @@
         sim.crash(&sim.place(key));
     }
     sim.advance(70_000);
-    assert_eq!((told_losses(&sim, key).total, sim.alive(key)), (3, 1));
+    assert_eq!((logged_losses(&sim, key).total, sim.alive(key)), (3, 1));
     let bad = submit_bad(&mut sim, 2, job(vec![step(1)]));
     sim.advance(20_000);
     assert_eq!(sim.state(bad), Some(JobState::Failed));
@@ -731,15 +731,15 @@
     for id in &idle {
         sim.crash(id);
     }
-    assert_eq!(told_losses(&sim, key), LossCount { total: 1, at_start: 1 });
-    work(&mut sim, 5_000);
+    assert_eq!(logged_losses(&sim, key), LossCount { total: 1, at_start: 1 });
+    run_tasks(&mut sim, 5_000);
     assert!(are_completed(&sim, &[id]));
 }
 
 /// Guards against a suspect whose worker's loss tells nothing, as another task was just starting beside it: neither could
 /// be named, and both would be suspected.
 #[test]
-fn a_suspect_waits_until_what_starts_beside_it_is_at_work() {
+fn a_suspect_waits_until_other_starts_on_its_worker_are_at_work() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
     let suspect = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     let place = sim.place(suspect);
@@ -765,5 +765,5 @@
         sim.advance(500);
     }
     assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.lost.len() <= BOUND, "{} workers were lost", sim.lost.len());
+    assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
--- a/tests/scheduler_restarts.rs
+++ b/tests/scheduler_restarts.rs
@@ -28,7 +28,7 @@
 /// Its tasks are lost with the life before, start once more and are done. Taken for the same worker, it would
 /// number its exits from one again, below those already taken in, and the jobs would never end.
 #[test]
-fn the_exits_of_the_next_life_count_from_its_first() {
+fn the_exits_of_the_next_incarnation_count_from_its_first() {
     let mut sim = one_worker();
     for id in 1..=3 {
         let done = sim.submit(id, job(vec![step(1)]));
@@ -51,7 +51,7 @@
 /// acknowledge them: the worker would forget them, nobody would know of them, and the tasks would run once more.
 /// Seen as "ended: not on the worker" of three tasks that were done, each started again.
 #[test]
-fn an_acknowledgement_for_the_life_before_reaches_no_exit_of_the_next() {
+fn an_acknowledgement_for_the_previous_incarnation_reaches_no_exit_of_the_next() {
     let mut sim = one_worker();
     let done = sim.submit(1, job(vec![step(4)]));
     for index in 0..4 {
@@ -74,7 +74,7 @@
 
 /// The worker's entry tells of the next life before any call shows it.
 #[test]
-fn a_rebirth_is_learned_from_the_workers_entry_too() {
+fn a_restart_is_noticed_from_the_workers_entry_too() {
     let mut sim = one_worker();
     let id = sim.submit(1, job(vec![step(2)]));
     let next = sim.restart_worker(FIRST);
@@ -89,7 +89,7 @@
 /// meant for that name. Meanwhile the task must not run elsewhere; once the next life has answered under a higher
 /// token, late starts are refused there and the task goes on.
 #[test]
-fn a_start_in_doubt_may_reach_the_next_life() {
+fn a_start_in_doubt_may_reach_the_next_incarnation() {
     let mut sim = two_workers();
     for worker in sim.workers.values_mut() {
         worker.is_late = true;
@@ -112,7 +112,7 @@
 /// The same, and the start comes late: after the next life has shown that it has nothing. Its token was raised with
 /// the first call, so that the start of before is refused, and the second run is the only one.
 #[test]
-fn a_start_that_comes_after_the_next_life_was_heard_is_refused_there() {
+fn a_start_that_arrives_after_the_next_incarnation_answered_is_refused_there() {
     let mut sim = one_worker();
     sim.workers.get_mut(FIRST).expect("known").is_late = true;
     let id = sim.submit(1, job(vec![step(1)]));
@@ -127,7 +127,7 @@
 /// A start was answered by the next life, in the moment between its birth and the first word of it: the answer to
 /// a start does not tell who gave it. It runs there, and must be found there, not started once more.
 #[test]
-fn a_start_that_the_next_life_answered_is_not_lost_with_the_one_before() {
+fn a_start_that_the_next_incarnation_answered_is_not_lost_with_the_previous_one() {
     let mut sim = one_worker();
     let busy = sim.submit(1, job(vec![step(8)]));
     sim.advance(100);
@@ -165,7 +165,7 @@
 /// An answer of the life before comes after the next one was seen, with an end that was listed but never taken in.
 /// It tells nothing of the next life, whose ends have the same numbers.
 #[test]
-fn a_late_list_of_the_life_before_is_ignored() {
+fn a_late_report_of_the_previous_incarnation_is_ignored() {
     let mut sim = one_worker();
     let id = sim.submit(1, job(vec![step(2)]));
     let next = sim.restart_worker(FIRST);
@@ -180,7 +180,7 @@
     let late = WorkerReport { clock_ms: 1, started_ms: Some(0), exits, ..WorkerReport::default() };
     let outcome = CommandOutcome::Done(late);
     sim.scheduler.handle_renewal_outcome(&next, &call(), outcome, sim.now, sim.now);
-    sim.scheduler.worker_seen(worker("w1", "r1").born(0), sim.now);
+    sim.scheduler.worker_seen(worker("w1", "r1").with_incarnation(0), sim.now);
     sim.run_until_idle();
     sim.advance(500);
     for index in 0..2 {
@@ -195,7 +195,7 @@
 /// written. The leader goes on calling it with the token that the next life has seen; called with a lower one, the
 /// worker would refuse it, and the leader would take that for another leader's work and step down.
 #[test]
-fn a_life_keeps_its_token_when_it_is_dropped_from_the_list_and_listed_again() {
+fn an_incarnation_keeps_its_token_when_it_is_dropped_from_the_list_and_listed_again() {
     let mut sim = one_worker();
     let next = sim.restart_worker(FIRST);
     sim.submit(1, job(vec![step(1)]));
@@ -215,7 +215,7 @@
 /// arrives so late that its run was given up long ago. The next life's clock began anew, so the lease in that start
 /// says nothing there: only the token keeps the task from running twice.
 #[test]
-fn a_start_that_was_given_up_is_refused_by_the_next_life() {
+fn an_abandoned_start_is_refused_by_the_next_incarnation() {
     let mut sim = two_workers();
     for worker in sim.workers.values_mut() {
         worker.is_late = true;
@@ -245,12 +245,12 @@
     assert_eq!(sim.alive(key), 1, "the late start was taken");
 }
 
-trait Born {
-    fn born(self, started_ms: u64) -> WorkerEntry;
+trait WithIncarnation {
+    fn with_incarnation(self, started_ms: u64) -> WorkerEntry;
 }
 
-impl Born for WorkerEntry {
-    fn born(self, started_ms: u64) -> WorkerEntry {
+impl WithIncarnation for WorkerEntry {
+    fn with_incarnation(self, started_ms: u64) -> WorkerEntry {
         let id = ibisweir::jobs::site::incarnation_id(&self.id, Some(started_ms));
         WorkerEntry { id, ..self }
     }
@@ -259,7 +259,7 @@
 /// A new leader sees a worker for the first time in its second life; the log tells of a run on the first. The run is
 /// over, and that is known from the first answer: its task starts at once, not after the longest lease.
 #[test]
-fn a_new_leader_meets_a_worker_in_its_next_life() {
+fn a_new_leader_first_sees_a_worker_in_its_next_incarnation() {
     let mut sim = one_worker();
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -272,7 +272,7 @@
 
 /// The same with a start of the old leader in doubt, which the next life has taken: it is found there.
 #[test]
-fn a_new_leader_finds_what_the_next_life_took() {
+fn a_new_leader_finds_a_run_that_the_next_incarnation_took() {
     let mut sim = one_worker();
     sim.workers.get_mut(FIRST).expect("known").is_late = true;
     let id = sim.submit(1, job(vec![step(1)]));
@@ -287,7 +287,7 @@
 /// Guards against a second run of a task that the next life took, where a new leader reads the VM list before that life's
 /// first answer.
 #[test]
-fn a_list_of_vms_does_not_end_what_the_next_life_may_have() {
+fn the_vm_list_does_not_end_a_run_that_the_next_incarnation_may_have() {
     let mut sim = two_workers();
     for worker in sim.workers.values_mut() {
         worker.is_late = true;
@@ -318,7 +318,7 @@
 /// Guards against a second run of a task whose worker a new leader knows from the log and the VM list alone, as its
 /// entry is gone: it may run on behind a cut until its leases have run out.
 #[test]
-fn a_worker_that_only_the_log_and_its_vm_tell_of_keeps_its_runs() {
+fn a_worker_known_only_from_the_log_and_its_vm_keeps_its_runs() {
     let mut sim = two_workers();
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -335,7 +335,7 @@
 /// Guards against a second run by a late start that a new leader's token kept out of one life, and that comes to the next
 /// life before its first call.
 #[test]
-fn a_start_that_one_life_would_refuse_does_not_run_in_the_next() {
+fn a_start_that_one_incarnation_would_refuse_does_not_run_in_the_next() {
     let mut sim = two_workers();
     for worker in sim.workers.values_mut() {
         worker.is_late = true;
@@ -359,7 +359,7 @@
 
 /// What was sent to the life before is refused by the next one's higher token. That tells of no other leader.
 #[test]
-fn a_refusal_of_what_was_meant_for_the_life_before_deposes_nobody() {
+fn a_refused_call_to_the_previous_incarnation_deposes_no_leader() {
     let mut sim = one_worker();
     let id = sim.submit(1, job(vec![step(1)]));
     sim.restart_worker(FIRST);
@@ -375,7 +375,7 @@
 /// A worker crashes behind a cut and starts again there. While it can't be reached its tasks wait as if it ran them;
 /// when the cut heals its first answer shows the next life, and they start again.
 #[test]
-fn a_worker_that_began_anew_behind_a_cut_loses_and_doubles_nothing() {
+fn a_worker_that_restarted_behind_a_cut_loses_and_repeats_no_task() {
     let mut sim = two_workers();
     let id = sim.submit(1, job(vec![step(1)]));
     let key = task(id, 0, 0);
@@ -394,7 +394,7 @@
 /// A task crashes each worker that starts it, and each is back under its name at once. The losses count by lives:
 /// the job is given up after as many as where each life has a name of its own.
 #[test]
-fn losses_are_counted_by_lives() {
+fn losses_count_by_incarnation() {
     let entries = (0..4).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
     let mut sim = SchedulerSim::open_with_incarnations(config(), entries);
     let id = sim.submit(1, job(vec![step(1)]));
@@ -418,7 +418,7 @@
 
 /// Service tasks are back at work after each of many rebirths, one run each.
 #[test]
-fn services_come_back_after_each_rebirth() {
+fn services_come_back_after_each_restart() {
     let mut sim = two_workers();
     let id = sim.submit(1, job(vec![service_step(2)]));
     for round in 0..6 {
@@ -442,7 +442,7 @@
 fn a_leader_steps_down_before_its_tokens_are_used_up() {
     let mut sim = one_worker();
     let mut id: Arc<str> = FIRST.into();
-    let mut lives = 0;
+    let mut incarnations = 0;
     while !sim.scheduler.is_deposed() {
         id = sim.restart_worker(&id);
         let entry = sim.entry(&id);
@@ -451,10 +451,10 @@
         let fence = sim.workers[&id].fence;
         assert!(
             fence < sim.scheduler.fence() + FENCING_TOKENS_PER_TERM,
-            "{fence} after {lives} lives"
+            "{fence} after {incarnations} incarnations"
         );
-        lives += 1;
-        assert!(lives <= FENCING_TOKENS_PER_TERM, "it never steps down");
+        incarnations += 1;
+        assert!(incarnations <= FENCING_TOKENS_PER_TERM, "it never steps down");
     }
-    assert!(lives > FENCING_TOKENS_PER_TERM / 2, "{lives} lives");
+    assert!(incarnations > FENCING_TOKENS_PER_TERM / 2, "{incarnations} incarnations");
 }
--- a/tests/scheduler_silence.rs
+++ b/tests/scheduler_silence.rs
@@ -16,7 +16,7 @@
 
 /// A task on a worker that falls silent and ends it with `kind`; its leases run out, and the task starts
 /// again on another worker, if `has_other`.
-fn given_up(kind: ExitKind, has_other: bool) -> (SchedulerSim, JobId) {
+fn abandoned_run(kind: ExitKind, has_other: bool) -> (SchedulerSim, JobId) {
     let pool = match has_other {
         true => vec![worker("w0", "r0"), worker("w1", "r1")],
         false => vec![worker("w0", "r0")],
@@ -34,13 +34,13 @@
     (sim, id)
 }
 
-fn answer_again(sim: &mut SchedulerSim) {
+fn let_answer_again(sim: &mut SchedulerSim) {
     sim.workers.get_mut("w0").expect("known").is_silent = false;
     sim.advance(1_000);
 }
 
 /// Whether the worker was told that it may forget all its exits.
-fn has_forgotten(sim: &SchedulerSim) -> bool {
+fn are_exits_acknowledged(sim: &SchedulerSim) -> bool {
     sim.workers["w0"].exits.is_empty()
 }
 
@@ -48,56 +48,56 @@
 /// task starts on another worker. Then the first answers again and lists the end. The caller's task has run
 /// once as long as that end never counts: it is not acknowledged, and the second run completes the job.
 #[test]
-fn an_end_that_was_heard_of_too_late_is_never_acknowledged() {
-    let (mut sim, id) = given_up(ExitKind::Done, true);
-    answer_again(&mut sim);
-    assert!(!has_forgotten(&sim));
+fn an_exit_that_is_listed_too_late_is_never_acknowledged() {
+    let (mut sim, id) = abandoned_run(ExitKind::Done, true);
+    let_answer_again(&mut sim);
+    assert!(!are_exits_acknowledged(&sim));
     assert_eq!(sim.state(id), Some(JobState::Running));
     sim.end(task(id, 0, 0), ExitKind::Done);
     sim.advance(2_000);
     assert_eq!(sim.state(id), Some(JobState::Completed));
-    assert!(!has_forgotten(&sim));
+    assert!(!are_exits_acknowledged(&sim));
     assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
 /// The same with a run that failed: acknowledged, it would count as one attempt more than the task may
 /// have had when it was started again.
 #[test]
-fn a_failure_that_was_heard_of_too_late_is_never_acknowledged() {
-    let (mut sim, id) = given_up(ExitKind::Failed, true);
-    answer_again(&mut sim);
-    assert!(!has_forgotten(&sim));
+fn a_failure_that_is_listed_too_late_is_never_acknowledged() {
+    let (mut sim, id) = abandoned_run(ExitKind::Failed, true);
+    let_answer_again(&mut sim);
+    assert!(!are_exits_acknowledged(&sim));
     assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
 /// The same, but the worker answers when the job is over and out of memory: the end still may not count.
 #[test]
-fn an_end_is_not_acknowledged_after_its_job_is_over_either() {
-    let (mut sim, id) = given_up(ExitKind::Done, true);
+fn an_exit_is_not_acknowledged_after_its_job_has_finished_either() {
+    let (mut sim, id) = abandoned_run(ExitKind::Done, true);
     sim.end(task(id, 0, 0), ExitKind::Done);
     sim.advance(1_000);
     assert_eq!(sim.state(id), Some(JobState::Completed));
-    answer_again(&mut sim);
-    assert!(!has_forgotten(&sim));
+    let_answer_again(&mut sim);
+    assert!(!are_exits_acknowledged(&sim));
 }
 
 /// The same, but another leader has taken over meanwhile: the log shows it that a later run was started.
 #[test]
 fn a_successor_does_not_acknowledge_it_either() {
-    let (mut sim, id) = given_up(ExitKind::Done, true);
+    let (mut sim, id) = abandoned_run(ExitKind::Done, true);
     sim.take_over(2, config());
-    answer_again(&mut sim);
-    assert!(!has_forgotten(&sim));
+    let_answer_again(&mut sim);
+    assert!(!are_exits_acknowledged(&sim));
     assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
 /// The task was not started again, for want of a worker. Then the end counts: the job is completed, and the
 /// task does not run a second time.
 #[test]
-fn an_end_counts_if_its_task_was_not_started_again() {
-    let (mut sim, id) = given_up(ExitKind::Done, false);
-    answer_again(&mut sim);
-    assert!(has_forgotten(&sim));
+fn an_exit_counts_if_its_task_was_not_started_again() {
+    let (mut sim, id) = abandoned_run(ExitKind::Done, false);
+    let_answer_again(&mut sim);
+    assert!(are_exits_acknowledged(&sim));
     assert_eq!(sim.state(id), Some(JobState::Completed));
     assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
@@ -105,11 +105,11 @@
 /// A worker whose ends can't be acknowledged lists them all again in each report, and its list is bounded.
 /// It takes no new work, and its VM is moved to begin another life.
 #[test]
-fn a_worker_that_can_not_be_acknowledged_begins_another_life() {
-    let (mut sim, _) = given_up(ExitKind::Done, true);
+fn a_worker_with_withheld_exits_begins_another_incarnation() {
+    let (mut sim, _) = abandoned_run(ExitKind::Done, true);
     let vms = [worker("w0", "r0"), worker("w1", "r1")];
     sim.scheduler.update_vms(vms.iter().map(|w| vm(w, POOL)).collect(), sim.now, sim.now);
-    answer_again(&mut sim);
+    let_answer_again(&mut sim);
     let other = sim.submit(2, job(vec![step(7)]));
     sim.advance(200);
     let is_on_w1 = |index| &*sim.place(task(other, 0, index)) == "w1";
@@ -121,9 +121,9 @@
 /// The same where its VM can't be moved now, as the VM list is old. It still takes no new work, though it has room:
 /// what would end there could never be acknowledged.
 #[test]
-fn a_worker_that_can_not_be_acknowledged_takes_no_new_work() {
-    let (mut sim, _) = given_up(ExitKind::Done, true);
-    answer_again(&mut sim);
+fn a_worker_with_withheld_exits_takes_no_new_work() {
+    let (mut sim, _) = abandoned_run(ExitKind::Done, true);
+    let_answer_again(&mut sim);
     let other = sim.submit(2, job(vec![step(15)]));
     sim.advance(200);
     assert_eq!((0..15).filter(|index| sim.alive(task(other, 0, *index)) > 0).count(), 7);
@@ -135,7 +135,7 @@
     call: RenewCall,
     report: WorkerReport,
     sent_ms: u64,
-    given_up_ms: u64,
+    deadline_ms: u64,
     answered_ms: u64,
 }
 
@@ -166,7 +166,7 @@
                     now,
                 );
             }
-            Some(renewal) if renewal.given_up_ms <= now => {
+            Some(renewal) if renewal.deadline_ms <= now => {
                 let outcome = CommandOutcome::Unknown;
                 sim.scheduler.handle_renewal_outcome(
                     &id,
@@ -182,7 +182,7 @@
         if open.is_some() {
             continue;
         }
-        let RenewPlan::Call(_, call, patience) = sim.scheduler.renew_plan(&id, now) else {
+        let RenewPlan::Call(_, call, timeout) = sim.scheduler.renew_plan(&id, now) else {
             continue;
         };
         let host = sim.workers.get_mut(&id).expect("known");
@@ -195,7 +195,7 @@
             gauge: None,
         });
         let wait_ms = u64::try_from(call.wait.as_millis()).expect("a short wait");
-        let patience_ms = u64::try_from(patience.as_millis()).expect("a short patience");
+        let timeout_ms = u64::try_from(timeout.as_millis()).expect("a short timeout");
         let report = WorkerReport {
             clock_ms: host.clock_ms(now + wait_ms),
             running: running.collect(),
@@ -206,7 +206,7 @@
             call,
             report,
             sent_ms: now,
-            given_up_ms: now + wait_ms + patience_ms,
+            deadline_ms: now + wait_ms + timeout_ms,
             answered_ms: now + wait_ms + delay_ms,
         });
     }
--- a/tests/scheduler_stops.rs
+++ b/tests/scheduler_stops.rs
@@ -7,7 +7,7 @@
 use support::sim::{SchedulerSim, SimWorker, config, job, service_step, step, task, worker};
 
 /// A job with so many tasks on one worker.
-fn running(tasks: u32) -> (SchedulerSim, JobId) {
+fn running_job(tasks: u32) -> (SchedulerSim, JobId) {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(tasks)]));
     assert_eq!(sim.workers["w0"].running.len(), tasks as usize);
@@ -15,7 +15,7 @@
 }
 
 /// A job with one service task on one worker.
-fn serving() -> (SchedulerSim, JobId) {
+fn service_job() -> (SchedulerSim, JobId) {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![service_step(1)]));
     sim.advance(500);
@@ -30,7 +30,7 @@
 /// Guards against a cancelled service that runs on for ever on a worker that is not listed and answers.
 #[test]
 fn stops_go_to_a_worker_that_is_not_listed_and_answers() {
-    let (mut sim, id) = serving();
+    let (mut sim, id) = service_job();
     sim.scheduler.worker_unlisted(&"w0".into(), sim.now);
     sim.advance(500);
     sim.append(&JobRecord::Cancelled(id));
@@ -41,7 +41,7 @@
 /// Guards against a cancelled service that is kept alive by renewals where every stop is lost.
 #[test]
 fn leases_run_out_where_every_stop_is_lost() {
-    let (mut sim, id) = serving();
+    let (mut sim, id) = service_job();
     w0(&mut sim).are_stops_lost = true;
     sim.append(&JobRecord::Cancelled(id));
     sim.advance(sim.bounds.lease_max_ms);
@@ -51,7 +51,7 @@
 /// Guards against leases that run out under a wanted run, as a stop of another is lost beside it.
 #[test]
 fn leases_are_renewed_beside_a_run_that_is_to_be_stopped() {
-    let (mut sim, id) = serving();
+    let (mut sim, id) = service_job();
     let other = sim.submit(2, job(vec![service_step(1)]));
     w0(&mut sim).are_stops_lost = true;
     sim.append(&JobRecord::Cancelled(id));
@@ -65,7 +65,7 @@
 /// Guards against a dead worker that gets stop upon stop, each on a connection of its own.
 #[test]
 fn a_worker_that_does_not_answer_gets_few_stops() {
-    let (mut sim, id) = running(8);
+    let (mut sim, id) = running_job(8);
     w0(&mut sim).is_silent = true;
     sim.advance(1_000);
     sim.append(&JobRecord::Cancelled(id));
@@ -76,7 +76,7 @@
 /// Guards against a stop that waits out its pause though its worker answers again.
 #[test]
 fn a_stop_goes_out_as_soon_as_its_worker_answers_again() {
-    let (mut sim, id) = running(1);
+    let (mut sim, id) = running_job(1);
     w0(&mut sim).is_silent = true;
     sim.advance(500);
     sim.append(&JobRecord::Cancelled(id));
--- a/tests/second_runs.rs
+++ b/tests/second_runs.rs
@@ -13,7 +13,7 @@
 use support::sim::{SchedulerSim, config, job, step, task, worker};
 
 /// Submits a task whose first try of a start is with an executor that has not answered; the worker that it is for.
-fn start_under_way(sim: &mut SchedulerSim) -> (TaskKey, Arc<str>) {
+fn start_in_flight(sim: &mut SchedulerSim) -> (TaskKey, Arc<str>) {
     sim.is_lane_held = true;
     let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     let Some(RunCommand::Start(call)) = sim.scheduler.command(&key, 1, sim.now) else {
@@ -30,9 +30,9 @@
 
 /// Guards against a start that is carried out after its repeat was refused and its task was started elsewhere.
 #[test]
-fn a_repeat_that_is_refused_does_not_settle_the_try_before_it() {
+fn a_refused_repeat_does_not_settle_the_earlier_attempt() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let (key, place) = start_under_way(&mut sim);
+    let (key, place) = start_in_flight(&mut sim);
     sim.workers.get_mut(&place).expect("known").is_full = true;
     sim.advance(700);
     sim.is_lane_held = false;
@@ -46,7 +46,7 @@
 
 /// Guards against a second run that nothing tells of: it is stopped, and its task may be served.
 #[test]
-fn a_second_run_that_a_worker_lists_is_told_once() {
+fn a_second_run_that_a_worker_lists_is_reported_once() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
     let key = task(sim.submit(1, job(vec![step(2)])), 0, 0);
     sim.advance(200);
@@ -58,38 +58,38 @@
     worker.lease_until_ms = u64::MAX;
     sim.submit(2, job(vec![step(8)]));
     sim.advance(1_000);
-    let is_told = |note: &&SchedulerEvent| matches!(note, SchedulerEvent::SecondRun { .. });
-    assert_eq!(sim.events.iter().filter(is_told).count(), 1);
+    let is_reported = |note: &&SchedulerEvent| matches!(note, SchedulerEvent::SecondRun { .. });
+    assert_eq!(sim.events.iter().filter(is_reported).count(), 1);
     assert_eq!(sim.alive(key), 1);
 }
 
 /// Guards against a second run that is told of though the first has ended: the report that lists it was long on its way.
 #[test]
-fn a_late_report_tells_of_no_second_run() {
+fn a_late_report_shows_no_second_run() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
     let sent_ms = sim.now;
     sim.advance(500);
     let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     sim.advance(200);
     let other: Arc<str> = if &*sim.place(key) == "w1" { "w2".into() } else { "w1".into() };
-    let told =
+    let listed =
         RunningTask { task: key, run: 7, checkpoint: String::new(), percent: 0, gauge: None };
-    let report = WorkerReport { clock_ms: sim.now, running: vec![told], ..Default::default() };
+    let report = WorkerReport { clock_ms: sim.now, running: vec![listed], ..Default::default() };
     let call = RenewCall { fence: 0, acked_exits: 0, lease_until_ms: None, wait: Duration::ZERO };
     sim.scheduler.handle_late_renewal(&other, &call, report, sent_ms, sim.now);
     sim.run_until_idle();
-    let is_told = |note: &SchedulerEvent| matches!(note, SchedulerEvent::SecondRun { .. });
-    assert!(!sim.events.iter().any(is_told));
+    let is_reported = |note: &SchedulerEvent| matches!(note, SchedulerEvent::SecondRun { .. });
+    assert!(!sim.events.iter().any(is_reported));
 }
 
 /// Guards against a start that reaches its worker's next life, as a repeat that was not sent hides the try before it.
 #[test]
-fn a_repeat_that_is_not_sent_does_not_hide_the_try_before_it() {
+fn a_repeat_that_is_not_sent_does_not_hide_the_earlier_attempt() {
     let mut sim = SchedulerSim::open_with_incarnations(
         config(),
         vec![worker("w1", "r1"), worker("w2", "r2")],
     );
-    let (key, place) = start_under_way(&mut sim);
+    let (key, place) = start_in_flight(&mut sim);
     sim.scheduler.command(&key, 1, sim.now);
     sim.scheduler.start_not_sent(&key, 1, sim.now);
     sim.is_lane_held = false;
@@ -106,7 +106,7 @@
 #[test]
 fn a_repeat_that_is_not_sent_does_not_free_the_task_of_a_leaving_worker() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-    let (key, place) = start_under_way(&mut sim);
+    let (key, place) = start_in_flight(&mut sim);
     sim.scheduler.command(&key, 1, sim.now);
     sim.scheduler.start_not_sent(&key, 1, sim.now);
     sim.is_lane_held = false;
@@ -123,7 +123,7 @@
         [CommandRefusal::Unhealthy, CommandRefusal::NoCapacity, CommandRefusal::InvalidPermit]
     {
         let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
-        let (key, place) = start_under_way(&mut sim);
+        let (key, place) = start_in_flight(&mut sim);
         sim.deliver_late(&place);
         let clock_ms = sim.workers[&place].clock_ms(sim.now);
         let begun = CommandOutcome::Done(clock_ms);
--- a/tests/start_outcomes.rs
+++ b/tests/start_outcomes.rs
@@ -12,15 +12,15 @@
 use support::sim::{SchedulerSim, WALL_OFFSET_MS, config, job, step, task, worker};
 
 /// Two workers, and a task whose start has been handed out and has no outcome.
-struct TryScene {
+struct AttemptScenario {
     sim: SchedulerSim,
     key: TaskKey,
     place: Arc<str>,
     call: StartCall,
 }
 
-impl TryScene {
-    fn open() -> TryScene {
+impl AttemptScenario {
+    fn open() -> AttemptScenario {
         let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
         sim.is_lane_held = true;
         let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
@@ -29,18 +29,18 @@
             _ => None,
         });
         let place = placed.expect("it was placed");
-        let call = hand_out(&mut sim, &key);
-        TryScene { sim, key, place, call }
+        let call = issue_attempt(&mut sim, &key);
+        AttemptScenario { sim, key, place, call }
     }
 
     /// The worker gets to the first try now, and begins the run unless it was told to refuse it.
-    fn carry_out(&mut self) {
+    fn deliver_attempt(&mut self) {
         self.sim.workers.get_mut(&self.place).expect("known").late.push(self.call.clone());
         self.sim.deliver_late(&self.place);
     }
 
     /// The outcome of a try.
-    fn end_try(&mut self, outcome: &CommandOutcome<u64>) {
+    fn report_outcome(&mut self, outcome: &CommandOutcome<u64>) {
         let now = self.sim.now;
         self.sim.scheduler.handle_start_outcome(&self.place, &self.key, 1, outcome, now);
     }
@@ -77,7 +77,7 @@
     }
 
     /// What waits in the lanes goes out, and so does what is decided next.
-    fn go_on(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.sim.is_lane_held = false;
         self.sim.empty_lanes();
         self.sim.advance(ms);
@@ -85,7 +85,7 @@
 }
 
 /// Hands out the next try of the first run.
-fn hand_out(sim: &mut SchedulerSim, key: &TaskKey) -> StartCall {
+fn issue_attempt(sim: &mut SchedulerSim, key: &TaskKey) -> StartCall {
     match sim.scheduler.command(key, 1, sim.now) {
         Some(RunCommand::Start(call)) => call,
         other => panic!("a start is due: {other:?}"),
@@ -103,35 +103,35 @@
 /// Guards against a run at work that is taken off the books, as a repeat of its start was refused: its task would be
 /// started elsewhere beside it.
 #[test]
-fn a_refused_repeat_takes_no_run_off_the_books_that_was_confirmed() {
+fn a_refused_repeat_does_not_remove_a_confirmed_run() {
     for refusal in REFUSALS {
-        let mut scene = TryScene::open();
-        scene.sim.are_renewals_muted = true;
-        hand_out(&mut scene.sim, &scene.key);
-        scene.carry_out();
-        let done = CommandOutcome::Done(scene.clock_ms());
-        scene.end_try(&done);
-        let refused = scene.refused(refusal);
-        scene.end_try(&refused);
-        scene.go_on(1_500);
-        assert_eq!(scene.sim.starts(scene.key), 1, "{refusal:?}");
-        assert_eq!(scene.sim.alive(scene.key), 1, "{refusal:?}");
+        let mut scenario = AttemptScenario::open();
+        scenario.sim.are_renewals_muted = true;
+        issue_attempt(&mut scenario.sim, &scenario.key);
+        scenario.deliver_attempt();
+        let done = CommandOutcome::Done(scenario.clock_ms());
+        scenario.report_outcome(&done);
+        let refused = scenario.refused(refusal);
+        scenario.report_outcome(&refused);
+        scenario.advance(1_500);
+        assert_eq!(scenario.sim.starts(scenario.key), 1, "{refusal:?}");
+        assert_eq!(scenario.sim.alive(scenario.key), 1, "{refusal:?}");
     }
 }
 
 /// Guards against the same where its worker has listed the run before any try had an outcome.
 #[test]
-fn a_refused_repeat_takes_no_run_off_the_books_that_was_listed() {
+fn a_refused_repeat_does_not_remove_a_listed_run() {
     for refusal in REFUSALS {
-        let mut scene = TryScene::open();
-        hand_out(&mut scene.sim, &scene.key);
-        scene.carry_out();
-        scene.sim.advance(100);
-        let refused = scene.refused(refusal);
-        scene.end_try(&refused);
-        scene.go_on(1_500);
-        assert_eq!(scene.sim.starts(scene.key), 1, "{refusal:?}");
-        assert_eq!(scene.sim.alive(scene.key), 1, "{refusal:?}");
+        let mut scenario = AttemptScenario::open();
+        issue_attempt(&mut scenario.sim, &scenario.key);
+        scenario.deliver_attempt();
+        scenario.sim.advance(100);
+        let refused = scenario.refused(refusal);
+        scenario.report_outcome(&refused);
+        scenario.advance(1_500);
+        assert_eq!(scenario.sim.starts(scenario.key), 1, "{refusal:?}");
+        assert_eq!(scenario.sim.alive(scenario.key), 1, "{refusal:?}");
     }
 }
 
@@ -139,56 +139,56 @@
 #[test]
 fn a_refused_repeat_ends_no_run_that_is_being_stopped() {
     for refusal in REFUSALS {
-        let mut scene = TryScene::open();
-        hand_out(&mut scene.sim, &scene.key);
-        scene.sim.workers.get_mut(&scene.place).expect("known").are_stops_lost = true;
-        scene.carry_out();
-        let done = CommandOutcome::Done(scene.clock_ms());
-        scene.sim.are_renewals_muted = true;
-        scene.drain();
-        scene.end_try(&done);
-        let refused = scene.refused(refusal);
-        scene.end_try(&refused);
-        scene.go_on(1_500);
-        assert_eq!(scene.sim.alive(scene.key), 1, "{refusal:?}");
+        let mut scenario = AttemptScenario::open();
+        issue_attempt(&mut scenario.sim, &scenario.key);
+        scenario.sim.workers.get_mut(&scenario.place).expect("known").are_stops_lost = true;
+        scenario.deliver_attempt();
+        let done = CommandOutcome::Done(scenario.clock_ms());
+        scenario.sim.are_renewals_muted = true;
+        scenario.drain();
+        scenario.report_outcome(&done);
+        let refused = scenario.refused(refusal);
+        scenario.report_outcome(&refused);
+        scenario.advance(1_500);
+        assert_eq!(scenario.sim.alive(scenario.key), 1, "{refusal:?}");
     }
 }
 
 /// Guards against a start that is taken back unsent while an earlier try of it is under way: it would be carried out
 /// after its task was started elsewhere.
 #[test]
-fn a_repeat_that_is_not_sent_does_not_settle_the_try_before_it() {
-    let mut scene = TryScene::open();
-    scene.sim.advance(700);
-    hand_out(&mut scene.sim, &scene.key);
-    let now = scene.sim.now;
-    scene.sim.scheduler.start_not_sent(&scene.key, 1, now);
-    scene.drain();
-    scene.go_on(500);
-    scene.carry_out();
-    assert_eq!(scene.sim.alive(scene.key), 1);
+fn a_repeat_that_is_not_sent_does_not_settle_the_earlier_attempt() {
+    let mut scenario = AttemptScenario::open();
+    scenario.sim.advance(700);
+    issue_attempt(&mut scenario.sim, &scenario.key);
+    let now = scenario.sim.now;
+    scenario.sim.scheduler.start_not_sent(&scenario.key, 1, now);
+    scenario.drain();
+    scenario.advance(500);
+    scenario.deliver_attempt();
+    assert_eq!(scenario.sim.alive(scenario.key), 1);
 }
 
 /// Guards against starts that are sent again while their executor's answer is on its way, and that take the time of a
 /// busy leader from the next ones.
 #[test]
-fn a_start_is_not_sent_again_before_its_try_is_given_up() {
-    let mut scene = TryScene::open();
-    assert!(!scene.is_sent_within(900));
+fn a_start_is_not_sent_again_before_its_attempt_times_out() {
+    let mut scenario = AttemptScenario::open();
+    assert!(!scenario.is_sent_within(900));
 }
 
 /// Guards against a lost answer to a start that is waited for once its try has been given up.
 #[test]
-fn a_start_is_sent_again_once_its_try_is_given_up() {
-    let mut scene = TryScene::open();
-    scene.is_sent_within(500);
-    scene.end_try(&CommandOutcome::Unknown);
-    assert!(scene.is_sent_within(150));
+fn a_start_is_sent_again_once_its_attempt_has_timed_out() {
+    let mut scenario = AttemptScenario::open();
+    scenario.is_sent_within(500);
+    scenario.report_outcome(&CommandOutcome::Unknown);
+    assert!(scenario.is_sent_within(150));
 }
 
 /// Guards against a task that waits for good, as the outcome of its start is never told.
 #[test]
 fn a_start_without_an_outcome_is_sent_again() {
-    let mut scene = TryScene::open();
-    assert!(scene.is_sent_within(2_000));
+    let mut scenario = AttemptScenario::open();
+    assert!(scenario.is_sent_within(2_000));
 }
--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -32,7 +32,7 @@
 use tokio::time::sleep;
 
 /// Time that a caller has.
-const PATIENCE: Duration = Duration::from_secs(3);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time of a read or an append.
 const LOG_TIME: Duration = Duration::from_millis(5);
 /// Wall clock of a successor, in milliseconds since the epoch.
@@ -43,9 +43,9 @@
 struct MemoryLog {
     records: Arc<Mutex<Vec<KeyedRecord>>>,
     /// What becomes of appends; nothing for done.
-    fate: Option<AppendOutcome>,
+    append_outcome: Option<AppendOutcome>,
     /// Whether reads are never answered to their end.
-    is_unread: bool,
+    is_unreadable: bool,
 }
 
 impl MemoryLog {
@@ -57,8 +57,8 @@
 impl JobLog for MemoryLog {
     async fn append(&self, call: &AppendCall, _: Duration) -> AppendOutcome {
         sleep(LOG_TIME).await;
-        if let Some(fate) = self.fate {
-            return fate;
+        if let Some(append_outcome) = self.append_outcome {
+            return append_outcome;
         }
         let mut records = self.records();
         let offset = records.len() as u64;
@@ -68,7 +68,7 @@
 
     async fn read(&self, _: LogTopic, from: u64, _: Duration) -> ReadOutcome {
         sleep(LOG_TIME).await;
-        if self.is_unread {
+        if self.is_unreadable {
             return ReadOutcome::Unknown;
         }
         let all = self.records();
@@ -117,15 +117,15 @@
 }
 
 async fn submit(desk: &CallerService<MemoryLog>, caller: &CallerAccess, id: JobId) -> CallerReply {
-    desk.submit(&queue(QUEUE, POOL), caller, id, job(vec![step(1)]), PATIENCE).await
+    desk.submit(&queue(QUEUE, POOL), caller, id, job(vec![step(1)]), CALLER_TIMEOUT).await
 }
 
 async fn cancel(desk: &CallerService<MemoryLog>, caller: &CallerAccess, id: JobId) -> CallerReply {
-    desk.cancel(&queue(QUEUE, POOL), caller, id, PATIENCE).await
+    desk.cancel(&queue(QUEUE, POOL), caller, id, CALLER_TIMEOUT).await
 }
 
 /// An entry that has just read the newest record of each key.
-async fn newcomer(log: &MemoryLog) -> Arc<JobNode> {
+async fn new_entry(log: &MemoryLog) -> Arc<JobNode> {
     let node = idle_node();
     let mut tail = TailReader::new(LogTopic::Jobs);
     let step = tail.next(log, Duration::ZERO).await;
@@ -134,7 +134,7 @@
 }
 
 /// Jobs that a leader which takes over from this entry's book would run.
-fn open_jobs(node: &JobNode) -> usize {
+fn runnable_jobs(node: &JobNode) -> usize {
     let start = SchedulerStart {
         term: 2,
         bounds: bounds(),
@@ -149,7 +149,7 @@
     Scheduler::open(start, &node.book()).stats().jobs
 }
 
-const GONE: CallerReply = CallerReply::Refused(ResultCode::UnknownJob, None);
+const UNKNOWN_JOB: CallerReply = CallerReply::Refused(ResultCode::UnknownJob, None);
 
 /// Guards against a job that runs to its end after its cancellation: it is stored by one entry a moment after another
 /// has answered that there is no such job.
@@ -158,83 +158,83 @@
     let log = MemoryLog::default();
     let (first, second) = (desk(&log, config()), desk(&log, config()));
     let (anyone, id) = (CallerAccess::default(), job_id(1));
-    assert_eq!(cancel(&first, &anyone, id).await, GONE);
-    assert_eq!(first.job_state(&anyone, id).await, GONE);
-    assert_eq!(second.job_state(&anyone, id).await, GONE);
+    assert_eq!(cancel(&first, &anyone, id).await, UNKNOWN_JOB);
+    assert_eq!(first.job_state(&anyone, id).await, UNKNOWN_JOB);
+    assert_eq!(second.job_state(&anyone, id).await, UNKNOWN_JOB);
     assert_eq!(submit(&second, &anyone, id).await, CallerReply::Stored);
     let cancelled = CallerReply::State(JobState::Cancelled);
     assert_eq!(second.job_state(&anyone, id).await, cancelled);
     assert_eq!(first.job_state(&anyone, id).await, cancelled);
-    let node = newcomer(&log).await;
+    let node = new_entry(&log).await;
     assert_eq!(node.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
-    assert_eq!(open_jobs(&node), 0);
+    assert_eq!(runnable_jobs(&node), 0);
 }
 
 /// Guards against a cancellation that is acknowledged and kept nowhere, as the log takes no appends.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_that_is_not_stored_is_not_acknowledged() {
     let anyone = CallerAccess::default();
-    let log = MemoryLog { fate: Some(AppendOutcome::Refused), ..MemoryLog::default() };
+    let log = MemoryLog { append_outcome: Some(AppendOutcome::Refused), ..MemoryLog::default() };
     let reply = cancel(&desk(&log, config()), &anyone, job_id(1)).await;
     assert!(matches!(reply, CallerReply::Refused(ResultCode::LogAway, Some(_))), "{reply:?}");
-    let log = MemoryLog { fate: Some(AppendOutcome::Unknown), ..MemoryLog::default() };
+    let log = MemoryLog { append_outcome: Some(AppendOutcome::Unknown), ..MemoryLog::default() };
     let reply = cancel(&desk(&log, config()), &anyone, job_id(1)).await;
     assert_eq!(reply, CallerReply::Unknown(ResultCode::JobOutcomeUnknown));
 }
 
 /// Guards against callers that can't cancel for as long as their entries are behind the log.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_behind_the_log_keeps_cancellations() {
+async fn an_entry_that_lags_behind_the_log_stores_cancellations() {
     let log = MemoryLog::default();
-    let unread = MemoryLog { is_unread: true, ..log.clone() };
+    let unread = MemoryLog { is_unreadable: true, ..log.clone() };
     let (behind, other) = (desk(&unread, config()), desk(&log, config()));
     let (anyone, id) = (CallerAccess::default(), job_id(1));
     assert_eq!(submit(&other, &anyone, id).await, CallerReply::Stored);
     assert_eq!(cancel(&behind, &anyone, id).await, CallerReply::Stored);
-    let newcomer = newcomer(&log).await;
-    assert_eq!(newcomer.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
-    assert_eq!(open_jobs(&newcomer), 0);
+    let new_entry = new_entry(&log).await;
+    assert_eq!(new_entry.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
+    assert_eq!(runnable_jobs(&new_entry), 0);
 }
 
 /// Guards against a job that another organisation cancels before it is stored, or a caller without any.
 #[tokio::test(start_paused = true)]
-async fn nobody_cancels_another_organisations_job_before_it_is_stored() {
+async fn no_one_cancels_another_organisations_job_before_it_is_stored() {
     let log = MemoryLog::default();
     let (first, second) = (desk(&log, keyed_config()), desk(&log, keyed_config()));
     let (east, west, id) = (caller("east"), caller("west"), job_id(1));
     for foreign in [&west, &CallerAccess::default()] {
-        assert_eq!(cancel(&first, foreign, id).await, GONE);
+        assert_eq!(cancel(&first, foreign, id).await, UNKNOWN_JOB);
     }
     assert_eq!(submit(&second, &east, id).await, CallerReply::Stored);
     for desk in [&first, &second] {
         assert_eq!(desk.job_state(&east, id).await, CallerReply::State(JobState::Queued));
     }
-    assert_eq!(open_jobs(&*newcomer(&log).await), 1);
+    assert_eq!(runnable_jobs(&*new_entry(&log).await), 1);
     // What is known and hidden leaves no record.
     let stored = log.records().len();
-    assert_eq!(cancel(&second, &west, id).await, GONE);
+    assert_eq!(cancel(&second, &west, id).await, UNKNOWN_JOB);
     assert_eq!(log.records().len(), stored);
 }
 
 /// Guards against a cancellation that another organisation's replaces on the log.
 #[tokio::test(start_paused = true)]
-async fn a_later_cancellation_of_others_takes_none_away() {
+async fn a_later_cancellation_by_others_replaces_none() {
     let log = MemoryLog::default();
     let (first, second) = (desk(&log, keyed_config()), desk(&log, keyed_config()));
     let (east, west, id) = (caller("east"), caller("west"), job_id(1));
     for caller in [&east, &west, &CallerAccess::default()] {
-        assert_eq!(cancel(&first, caller, id).await, GONE);
+        assert_eq!(cancel(&first, caller, id).await, UNKNOWN_JOB);
     }
     assert_eq!(submit(&second, &east, id).await, CallerReply::Stored);
     let cancelled = CallerReply::State(JobState::Cancelled);
     assert_eq!(first.job_state(&east, id).await, cancelled);
-    assert_eq!(first.job_state(&west, id).await, GONE);
-    let node = newcomer(&log).await;
+    assert_eq!(first.job_state(&west, id).await, UNKNOWN_JOB);
+    let node = new_entry(&log).await;
     assert_eq!(node.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
-    assert_eq!(open_jobs(&node), 0);
+    assert_eq!(runnable_jobs(&node), 0);
     // A job of a queue that is open to all may be cancelled by every caller that may see it.
     let (anyone, open) = (CallerAccess::default(), job_id(2));
-    assert_eq!(cancel(&first, &west, open).await, GONE);
+    assert_eq!(cancel(&first, &west, open).await, UNKNOWN_JOB);
     assert_eq!(submit(&second, &anyone, open).await, CallerReply::Stored);
     assert_eq!(first.job_state(&anyone, open).await, cancelled);
 }
@@ -252,7 +252,7 @@
 /// Guards against a job that runs at the leader that was told of its cancellation first, or at its successor; and
 /// against one that others have cancelled.
 #[test]
-fn a_leader_goes_by_who_has_cancelled_a_job_before_it_came() {
+fn a_leader_checks_who_has_cancelled_a_job_before_it_arrived() {
     let west = OrganisationDigest::of(Some(&"west".into()));
     let id = job_id(1);
     for takes_over in [false, true] {
@@ -277,7 +277,7 @@
 
 /// Guards against a cancellation of a job that the leader has that is not carried out.
 #[test]
-fn a_job_that_came_meanwhile_is_cancelled() {
+fn a_job_that_arrived_meanwhile_is_cancelled() {
     let (mut sim, east, submitted) = sim();
     sim.append(&submitted);
     sim.advance(500);
@@ -314,25 +314,25 @@
 /// Guards against a caller that is told that its cancellation is done while the job, which is another organisation's,
 /// runs on: its entry is behind the log and can't tell whose the job is.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_behind_the_log_says_nothing_done_that_does_not_count() {
+async fn an_entry_that_lags_behind_the_log_reports_no_ineffective_cancellation() {
     let log = MemoryLog::default();
-    let unread = MemoryLog { is_unread: true, ..log.clone() };
+    let unread = MemoryLog { is_unreadable: true, ..log.clone() };
     let (behind, other) = (desk(&unread, keyed_config()), desk(&log, keyed_config()));
     let id = job_id(1);
     assert_eq!(submit(&other, &caller("east"), id).await, CallerReply::Stored);
-    let told = cancel(&behind, &caller("west"), id).await;
-    assert_eq!(open_jobs(&*newcomer(&log).await), 1, "it runs on");
-    assert_ne!(told, CallerReply::Stored);
+    let reply = cancel(&behind, &caller("west"), id).await;
+    assert_eq!(runnable_jobs(&*new_entry(&log).await), 1, "it runs on");
+    assert_ne!(reply, CallerReply::Stored);
 }
 
 /// Guards against a job that a caller without a key cancels before it is stored: its entry still goes by a configuration
 /// in which nobody needs one.
 #[tokio::test(start_paused = true)]
-async fn nobody_cancels_an_organisations_job_through_an_old_configuration() {
+async fn no_one_cancels_an_organisations_job_through_an_old_configuration() {
     let log = MemoryLog::default();
     let (old, new) = (desk(&log, config()), desk(&log, keyed_config()));
     let id = job_id(1);
-    assert_eq!(cancel(&old, &CallerAccess::default(), id).await, GONE);
+    assert_eq!(cancel(&old, &CallerAccess::default(), id).await, UNKNOWN_JOB);
     assert_eq!(submit(&new, &caller("east"), id).await, CallerReply::Stored);
-    assert_eq!(open_jobs(&*newcomer(&log).await), 1);
+    assert_eq!(runnable_jobs(&*new_entry(&log).await), 1);
 }
