--- a/src/scheduler/abandoned.rs
+++ b/src/scheduler/abandoned.rs
@@ -1,11 +1,12 @@
-//! Runs that were given up unseen, and exits that must not be acknowledged because of them.
+//! Runs that were abandoned on unreachable workers, and exits that must not be acknowledged because
+//! of them.
 //!
-//! The load that this answers: a worker can't be reached until every lease that it can have has run
-//! out, and its tasks are started elsewhere. When it answers again, it lists how the first runs have
-//! ended: some were done, or had failed, while nobody could hear of it. Callers of a task that is not
-//! idempotent see it run once as long as the first end never counts. An acknowledgement makes it
-//! count, and acknowledgements are cumulative: so none reaches that exit in this life of the worker.
-//! The worker takes nothing new, and its VM is moved once it is empty, which ends that life.
+//! When a worker can't be reached until every lease that it can have has run out, its tasks are
+//! started elsewhere. When it answers again, it lists how the first runs have ended: some were done
+//! or had failed while it was cut off. Callers of a task that is not idempotent see it run once as
+//! long as that first exit never counts. An acknowledgement would make it count, and
+//! acknowledgements are cumulative, so none may reach that exit in this incarnation of the worker.
+//! The worker gets no new work, and its VM is moved once it is empty, which ends the incarnation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,14 +20,14 @@
 /// Whether the worker's loss was counted against the task, and if so, whether at its start.
 type CountedLoss = Option<bool>;
 
-/// Runs that were given up, by worker. A run stays as long as its job can be asked for.
+/// Abandoned runs by worker. A run stays as long as the state of its job can be queried.
 #[derive(Debug, Default)]
 pub(crate) struct AbandonedRuns {
     by_worker: BTreeMap<Arc<str>, BTreeMap<(TaskKey, u32), CountedLoss>>,
 }
 
 impl AbandonedRuns {
-    /// A run is taken for over, though its worker was not heard of.
+    /// Adds a run that counts as ended although its worker has not confirmed it.
     pub(crate) fn insert(
         &mut self,
         worker: &Arc<str>,
@@ -37,7 +38,7 @@
         self.by_worker.entry(worker.clone()).or_default().insert((task, run), counted);
     }
 
-    /// Runs for which this worker was counted as lost, each told once.
+    /// Runs that this worker's loss was counted against; each is returned only once.
     pub(crate) fn take_counted(&mut self, worker: &str) -> Vec<((TaskKey, u32), bool)> {
         let runs = self.by_worker.get_mut(worker).into_iter().flatten();
         runs.filter_map(|(key, counted)| Some((*key, counted.take()?))).collect()
@@ -47,12 +48,12 @@
         self.by_worker.get(worker).is_some_and(|runs| runs.contains_key(&(task, run)))
     }
 
-    /// The life of a worker is over: it lists nothing any more.
+    /// Forgets a worker's incarnation that has ended: it lists nothing any more.
     pub(crate) fn forget_worker(&mut self, worker: &str) {
         self.by_worker.remove(worker);
     }
 
-    /// A job is over for so long that it can't be asked for.
+    /// Forgets a job that ended so long ago that it can no longer be queried.
     pub(crate) fn forget_job(&mut self, job: JobId) {
         self.by_worker.retain(|_, runs| {
             runs.retain(|(task, _), _| task.job != job);
@@ -62,8 +63,8 @@
 }
 
 impl Scheduler {
-    /// Whether the exit of a run that was given up may never be acknowledged, as its task was started
-    /// again. For a job that is not in memory any more, only the given up runs tell.
+    /// Whether the exit of an abandoned run must never be acknowledged, as its task was started
+    /// again. For a job that is no longer in memory, only the abandoned runs show this.
     pub(crate) fn must_withhold(&self, id: &str, exit: &TaskExit) -> bool {
         if !matches!(exit.kind, ExitKind::Done | ExitKind::Failed) {
             return false;
@@ -78,23 +79,24 @@
         }
         let later: Vec<RunPhase> =
             task.live.iter().filter(|live| live.run > exit.run).map(|live| live.phase).collect();
-        // One that was only planned is taken back when this end counts.
+        // A run that was only planned is removed when this exit counts.
         let is_only_planned = !later.is_empty() && later.iter().all(|p| *p == RunPhase::Planned);
         task.run > exit.run && !is_only_planned
     }
 
-    /// Keeps this exit and all after it from being acknowledged.
+    /// Keeps this exit and all later ones from being acknowledged.
     pub(crate) fn withhold(&mut self, id: &Arc<str>, number: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if !worker.withhold_exits_from(number) {
             return;
         }
         let runs = worker.runs.len();
-        let change = "lists an end that may not count";
+        let change = "lists an exit that must not be acknowledged";
         self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
     }
 
-    /// Moves the VMs of such workers once they are empty: their next life can be acknowledged.
+    /// Moves the VMs of workers with withheld exits once they are empty: exits of their next
+    /// incarnation can be acknowledged.
     pub(crate) fn reassign_withheld_vms(&mut self, now: u64) {
         let withheld: Vec<Arc<str>> = self
             .workers
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The pool that a VM goes to for a new life: one whose VMs are off if there is one.
+    /// The pool that a VM moves to for a new incarnation: one whose VMs are off, if there is one.
     fn other_pool(&self, vm: &str) -> Option<Arc<str>> {
         let own = self.fleet.vms.get(vm).map(|vm| vm.pool.clone())?;
         let others = self.config.pools.iter().filter(|pool| pool.name != own);
--- a/src/scheduler/incarnations.rs
+++ b/src/scheduler/incarnations.rs
@@ -1,19 +1,24 @@
-//! Workers that come back under their name: another life, which holds and knows nothing of the one before.
+//! Workers that restart under the same name, as a new incarnation that runs and knows nothing of
+//! the previous one.
 //!
-//! A call names the worker that it is meant for, and the next life takes that name as its own. So what was sent
-//! to the life before may be carried out by the next one: a start that had no answer yet runs there seconds later,
-//! and its task, taken for lost and started elsewhere, would run twice. Five things keep that out:
+//! A call names the worker that it is meant for, and the next incarnation has the same name. So it
+//! may carry out calls that were sent to the previous one: a start without an answer runs there
+//! seconds later, and its task, which counted as lost and was started elsewhere, would run twice.
+//! Five rules prevent that:
 //!
-//! * A life is known by its name and the time of its birth (`incarnation_id`), and everything is booked by it: numbers
-//!   of exits, clocks, leases and losses of one life are never held against another.
-//! * Runs that the life before has listed are over with it. Those that may still be on their way go over to the
-//!   next life, and are over only when that one does not list them.
-//! * The VM list shows workers by their names. It ends lives only where it shows none of that name: of one that the log
-//!   tells of, the runs may have gone on to the next life, which has yet to answer.
-//! * Exits are acknowledged only while nothing was sent that the life has not listed: the next life could have taken
-//!   it, and would forget its own exits up to that number.
-//! * The next life is called with a higher fencing token from the first call on. What was sent before is refused
-//!   by it from then on, so what it does not list then never comes.
+//! * An incarnation is identified by its name and the time when it began (`incarnation_id`), and
+//!   all state is kept under that id: exit numbers, clocks, leases and losses of one incarnation
+//!   never apply to another.
+//! * Runs that the previous incarnation has listed end with it. Starts that may still be in flight
+//!   are carried over to the next one, and end only when it does not list them.
+//! * The VM list shows workers by name. It ends incarnations only where it shows none of that name:
+//!   the runs of an incarnation that is known from the log may have been carried over to the next
+//!   one, which has not answered yet.
+//! * Exits are acknowledged only while every start that was sent has been listed by the
+//!   incarnation: the next one could have taken it, and would discard its own exits up to that
+//!   number.
+//! * The next incarnation is called with a higher fencing token from the first call on. It refuses
+//!   earlier calls from then on, so a run that it does not list then never starts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,23 +30,24 @@
 use crate::scheduler::worker::{PlacedRun, WorkerState};
 use crate::scheduler::{FENCING_TOKENS_PER_TERM, Scheduler, SchedulerAction, SchedulerEvent};
 
-/// The newest life that is known of each worker, and those before it.
+/// The newest known incarnation of each worker, and those that have ended.
 #[derive(Debug, Default)]
 pub(crate) struct IncarnationTable {
     newest: BTreeMap<Arc<str>, Arc<str>>,
     ended: BTreeSet<Arc<str>>,
-    /// What is added to the leader's fencing token in calls to a worker, by its name. It stays when the worker is
-    /// dropped from the list: called with a lower token than before, it would seem to obey another leader.
+    /// Added to the leader's fencing token in calls to a worker, by worker name. It stays when the
+    /// worker is dropped from the list: if it were called with a lower token than before, it would
+    /// seem to obey another leader.
     fence_offsets: BTreeMap<Arc<str>, u64>,
 }
 
 impl IncarnationTable {
-    /// The newest life of a worker; its name where none is known.
+    /// The newest incarnation of a worker; its name if none is known.
     pub fn newest<'a>(&'a self, name: &'a Arc<str>) -> &'a Arc<str> {
         self.newest.get(name).unwrap_or(name)
     }
 
-    /// Takes a life; the one before it, if that was another.
+    /// Makes an incarnation the newest; returns the one that it replaces.
     fn begin(&mut self, id: &Arc<str>) -> Option<Arc<str>> {
         let previous = self.newest.insert(worker_name(id).into(), id.clone());
         let previous = previous.filter(|previous| previous != id)?;
@@ -49,25 +55,25 @@
         Some(previous)
     }
 
-    /// A life is over: what was sent to it must not count with the next one.
+    /// Ends an incarnation: calls that were sent to it must not take effect in the next one.
     fn end(&mut self, previous: &Arc<str>) {
         self.ended.insert(previous.clone());
         *self.fence_offsets.entry(worker_name(previous).into()).or_default() += 1;
     }
 
-    /// What is added to the fencing token in calls to a worker.
+    /// Offset of the fencing token in calls to a worker.
     fn fence_offset(&self, id: &str) -> u64 {
         self.fence_offsets.get(worker_name(id)).copied().unwrap_or_default()
     }
 
-    /// Whether a later life has been seen.
+    /// Whether a later incarnation has been seen.
     pub fn has_ended(&self, id: &str) -> bool {
         self.ended.contains(id)
     }
 }
 
-/// Whether a start may be carried out yet, or may have been by the next life: it was sent, and not every try of
-/// it is known to have reached the life that lists it.
+/// Whether a start may still be carried out, or may have been by the next incarnation: it was sent,
+/// and not every attempt is known to have reached the incarnation that lists the run.
 fn may_still_start(live: &LiveRun) -> bool {
     match live.phase {
         RunPhase::Planned => false,
@@ -79,8 +85,8 @@
 }
 
 impl Scheduler {
-    /// Takes note of a life that a worker's entry tells of; false if a later one is known, so that the entry is
-    /// out of date.
+    /// Takes note of the incarnation in a worker's entry; returns false if a later one is known, so
+    /// that the entry is out of date.
     pub(crate) fn begin_incarnation(&mut self, entry: &WorkerEntry, now: u64) -> bool {
         if self.incarnations.has_ended(&entry.id) {
             return false;
@@ -92,8 +98,8 @@
         true
     }
 
-    /// A worker has answered under a life that began at `started_ms`; false if that is another than the one it was
-    /// asked as, so that the answer tells nothing of that one.
+    /// Checks which incarnation has answered, by the time when it began; returns false if another
+    /// one was called, so that the answer says nothing about the one called.
     pub(crate) fn is_answer_of(
         &mut self,
         id: &Arc<str>,
@@ -113,8 +119,8 @@
         false
     }
 
-    /// The first answer of a life under our token: others of the same worker, of which only the log told, are
-    /// over.
+    /// Ends other incarnations of the same worker that are known only from the log, when this one
+    /// first answers under this leader's token.
     pub(crate) fn end_other_incarnations(&mut self, id: &Arc<str>, now: u64) {
         let name = worker_name(id);
         let is_other = |other: &&Arc<str>| *other != id && worker_name(other) == name;
@@ -126,13 +132,13 @@
         }
     }
 
-    /// A term has only so many tokens. Behind the last one another term begins, since the next life could not be told
-    /// from the one before.
+    /// Steps down when the term has no tokens left, so that another term begins: the next
+    /// incarnation could not be told from the one before.
     fn check_token_limit(&mut self, id: &str) {
         self.is_deposed |= self.incarnations.fence_offset(id) >= FENCING_TOKENS_PER_TERM;
     }
 
-    /// The life `previous` is over, and the same worker lives on as `entry` tells.
+    /// Replaces the incarnation `previous` by the one in `entry` of the same worker.
     fn replace_incarnation(&mut self, previous: &Arc<str>, entry: WorkerEntry, now: u64) {
         let id = entry.id.clone();
         let Some(old) = self.workers.remove(previous) else { return };
@@ -151,7 +157,7 @@
             .filter(|(key, _)| self.is_carried_over(key))
             .map(|(k, r)| (*k, *r))
             .collect();
-        // Whatever comes of those can have a lease that was asked for until now.
+        // A start that is still in flight may carry any lease that was requested until now.
         let lease_ms = self.lease_ms() * 100 / 98 + self.bounds.stop_ms;
         let bound = self.predecessor_lease_bound_ms.max(now + lease_ms);
         let next =
@@ -170,8 +176,9 @@
         self.fleet.is_list_wanted = true;
     }
 
-    /// Whether an acknowledgement can reach no exit but those of this life: all that was sent to it is listed by it.
-    /// Services may stay in doubt for as long as they last, and their exits are no loss.
+    /// Whether an acknowledgement can reach only exits of this incarnation: it has listed every
+    /// start that was sent to it. Services may stay in doubt for as long as they run, and their
+    /// exits are no loss.
     pub(crate) fn may_acknowledge(&self, id: &str) -> bool {
         let Some(worker) = self.workers.get(id).filter(|_| worker_name(id) != id) else {
             return true;
@@ -190,7 +197,8 @@
         live.is_some_and(may_still_start)
     }
 
-    /// Books a run on the next life, which may have it: the report that it gives under the new token tells.
+    /// Places a run on the next incarnation, which may have it: its first report under the new
+    /// token shows that.
     fn carry_over(&mut self, id: &Arc<str>, key: TaskKey, run: u32, placed: PlacedRun, now: u64) {
         self.pending_commands.remove(&(key, run));
         let task = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(&key));
@@ -206,7 +214,8 @@
         }
     }
 
-    /// Fencing token of calls to a worker: higher for each life of it that was seen to follow another.
+    /// Fencing token of calls to a worker: it rises with each incarnation that was seen to follow
+    /// another.
     pub(crate) fn fence_of(&self, id: &str) -> u64 {
         self.fence() + self.incarnations.fence_offset(id)
     }
--- a/src/scheduler/loss_attribution.rs
+++ b/src/scheduler/loss_attribution.rs
@@ -1,5 +1,5 @@
-//! Counts lost workers against the tasks that ran there, and gives up those that crash them; see
-//! [`crate::scheduler::losses`] for what speaks for and against a task.
+//! Counts lost workers against the tasks that ran on them, and gives up the tasks that crash them;
+//! see [`crate::scheduler::losses`] for the rules.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::scheduler::{Scheduler, SchedulerEvent};
 
 impl Scheduler {
-    /// Counts lost workers against what they ran. Before the runs are taken off the books: one record tells
-    /// both.
+    /// Counts lost workers against their tasks. This comes before their runs are removed, so that
+    /// one log record holds both.
     ///
-    /// What is learned of together is weighed together: the first worker of a rack must not be judged as if
-    /// the others had not gone.
+    /// Losses that become known together are weighed together: the first worker of a rack must not
+    /// be assessed as if the others were still up.
     pub(crate) fn count_worker_losses(&mut self, lost: &[WorkerState], now: u64) {
         let mut losses_found = Vec::with_capacity(lost.len());
         for worker in lost {
@@ -30,7 +30,8 @@
         for (worker, affected, _) in &losses_found {
             self.losses.insert(&worker.entry, affected, now);
         }
-        // A conviction clears others, so it comes before their own verdicts.
+        // Once a cause is found, losses of other tasks are reverted, so it comes before the
+        // decisions on those.
         for (worker, _, suspect) in &losses_found {
             if let Some(task) = suspect {
                 self.defer_give_up(GiveUpCause::SoleSuspect, *task, worker, now);
@@ -43,13 +44,15 @@
         self.log_losses(services, now);
     }
 
-    /// A task has outlived a start: what was lost at its earlier ones may be the pool's own trouble.
+    /// Clears a task that has survived a start: the losses at its earlier starts may be the pool's
+    /// own trouble.
     pub(crate) fn clear_suspect(&mut self, task: &TaskKey, now: u64) {
         let services = self.losses.clear_suspect(task);
         self.log_losses(services, now);
     }
 
-    /// Tells the next leader what was lost in these services' pools, where a task may come to be on trial.
+    /// Logs the losses of these services' pools for the next leader, where a task may come to be on
+    /// trial.
     fn log_losses(&mut self, services: BTreeSet<Arc<str>>, now: u64) {
         if services.is_empty() {
             return;
@@ -63,8 +66,8 @@
         }
     }
 
-    /// Counts a worker that stays silent until its leases have run out. It may only be cut off, so it
-    /// names nobody; the runs that were counted, and whether at their start.
+    /// Counts a worker that stays silent until its leases have run out. It may only be cut off, so
+    /// its loss identifies no task. Returns the counted runs, and whether each was at its start.
     pub(crate) fn count_silent_worker(
         &mut self,
         worker: &WorkerState,
@@ -76,14 +79,15 @@
         counted.map(|run| ((run.task, run.run), run.is_at_start())).collect()
     }
 
-    /// The worker answers in the same life: it was not lost.
+    /// Reverts the counted losses of a worker that answers in the same incarnation: it was not
+    /// lost.
     pub(crate) fn revert_counted_losses(&mut self, id: &str) {
         for ((task, _), is_at_start) in self.abandoned.take_counted(id) {
             self.revert_loss(&task, is_at_start);
         }
     }
 
-    /// Gives the verdicts that have waited for the news of other workers.
+    /// Gives up the tasks whose decisions have waited long enough for other losses to become known.
     pub(crate) fn give_up_due_jobs(&mut self, now: u64) {
         while let Some(pending) = self.losses.take_due_give_up(now) {
             match pending.cause {
@@ -102,16 +106,17 @@
         }
     }
 
-    /// Clears what a job that crashes workers as it starts took along, of each worker that was lost so. Left counted,
-    /// the same few neighbours of such jobs would reach the bound for every reason.
+    /// Reverts the losses of neighbours of a job that crashes workers as it starts, for each worker
+    /// lost that way. Otherwise the same few neighbours of such jobs would reach the limit for all
+    /// causes.
     fn revert_neighbour_losses(&mut self, job: JobId, crashed_worker: &str) {
         for cleared in self.losses.attribute_to(job, crashed_worker) {
             self.revert_loss(&cleared.task, cleared.is_at_start);
         }
     }
 
-    /// Runs whose start may have reached the worker. One that waits to be sent, as the worker did not answer
-    /// before it, tells that it was gone already.
+    /// Runs whose start may have reached the worker. A start that still waits to be sent, since the
+    /// worker had stopped answering before, was not involved: the worker was already gone.
     fn affected_runs(&self, worker: &WorkerState, now: u64) -> Vec<AffectedRun> {
         let is_lagging = self.is_lagging(now);
         let affected_run = |((task, run), placed): (&(TaskKey, u32), &PlacedRun)| {
@@ -129,8 +134,8 @@
         worker.runs.iter().filter_map(affected_run).collect()
     }
 
-    /// The task that must have crashed its worker, if nothing else did: only its job was just starting there,
-    /// and it has lost as many workers so before.
+    /// The task that must have crashed its worker, if nothing else did: only its job was just
+    /// starting there, and it has lost enough workers that way before.
     fn sole_suspect(&self, affected: &[AffectedRun]) -> Option<TaskKey> {
         let candidates: Vec<&AffectedRun> =
             affected.iter().filter(|run| run.may_be_cause()).collect();
@@ -154,7 +159,8 @@
             let Some(job) = self.jobs.get_mut(&run.task.job) else { continue };
             let Some(task) = job.task_mut(&run.task) else { continue };
             let live = task.live.iter_mut().find(|live| live.run == run.run);
-            // Carried over to the next life of its worker, the same start can be lost again.
+            // A start that is carried over to the next incarnation of its worker can be lost once
+            // more.
             if live.is_some_and(|live| std::mem::replace(&mut live.is_loss_counted, true)) {
                 continue;
             }
@@ -178,7 +184,7 @@
         self.commits.mark_changed(key.job);
     }
 
-    /// Holds the task back until its verdict.
+    /// Holds the task back until the decision.
     fn defer_give_up(&mut self, cause: GiveUpCause, key: TaskKey, worker: &WorkerState, now: u64) {
         let task = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(&key));
         if let Some(task) = task {
@@ -188,7 +194,7 @@
         self.losses.defer_give_up(PendingGiveUp { cause, task: key, lost_ms: now, entry });
     }
 
-    /// Gives up the job of a task that crashes its workers; callers are told at once that it has failed.
+    /// Gives up the job of a task that crashes its workers; callers see at once that it has failed.
     pub(crate) fn give_up(&mut self, key: &TaskKey, reason: &'static str, now: u64) {
         let is_open = self.jobs.get(&key.job).is_some_and(|job| !job.state.is_final());
         if !is_open {
@@ -205,7 +211,7 @@
         task.map(|task| task.losses).unwrap_or_default()
     }
 
-    /// Workers that are listed of each pool; nothing where no task can be on trial.
+    /// Listed workers by pool; empty where no task can be on trial.
     pub(crate) fn pool_sizes(&self) -> HashMap<&Arc<str>, usize> {
         let mut sizes = HashMap::new();
         if self.losses.logged_jobs().is_empty() {
@@ -217,12 +223,13 @@
         sizes
     }
 
-    /// Job of a task that must be tried on probation.
+    /// Job of a task that has to start on probation.
     pub(crate) fn probation_job(&self, key: &TaskKey) -> Option<JobId> {
         (self.loss_count(key).probation_ms() > 0).then_some(key.job)
     }
 
-    /// Whether one more worker of a pool may be put at risk by a suspect: half of them stay for the rest.
+    /// Whether a suspect may put one more worker of a pool at risk: half of them stay available to
+    /// other tasks.
     pub(crate) fn has_probation_capacity(&self, service: &Arc<str>, now: u64) -> bool {
         let (mut all, mut at_risk) = (0, 0);
         for worker in self.workers.values().filter(|worker| worker.entry.service == *service) {
--- a/src/scheduler/losses.rs
+++ b/src/scheduler/losses.rs
@@ -1,29 +1,35 @@
-//! Workers that are lost under tasks: what is counted, and what speaks for and against a task.
+//! Accounting of workers that are lost while they run tasks, and when a task is given up for it.
 //!
-//! The load that this answers: a task crashes each worker that starts it, with all that runs there. A run
-//! that ends with its worker is no failed attempt, so without a bound of its own the task goes from worker
-//! to worker and takes the pool down with it. But workers die of other things too, and most tasks that were
-//! on a lost worker are innocent: a count that blames all of them gives up jobs that would be served.
+//! A task may crash every worker that starts it, together with everything else that runs there. A
+//! run that ends with its worker is not a failed attempt, so without a limit of its own the task
+//! would move from worker to worker and take the pool down. But workers die for other reasons too,
+//! and most tasks on a lost worker did not cause the loss: counting it against all of them alike
+//! would give up jobs that could be served.
 //!
-//! So these are told apart:
+//! The rules that tell these cases apart:
 //!
-//! * A task that was just starting when its worker was lost is suspected. From then on it starts on
-//!   probation: on a worker that has answered a moment ago, where nothing else is just starting and that has
-//!   the least to lose; nothing else starts there until it has been at work for a while. If such a worker is
-//!   lost too, and again, nothing but this task can have been the cause, and its job is given up.
-//! * If another worker is lost at the same time, in its rack or its pool, without a suspect on it, the failure
-//!   is larger than one worker and names nobody. Nor does a VM that loses one worker after the other.
-//! * A loss under a task that was just starting tells nothing of the pool, until the task outlives another start. In a
-//!   busy pool something is starting on nearly every worker that is lost, and only the next start tells by what.
-//! * A task with [`LOSSES_MAX`] losses is given up, whatever their reasons were. This bounds also what crashes its
-//!   worker some time after its start. No single loss tells such a task from one that was there by chance: both may be
-//!   lost at any time at work, and other workers may go at the same time. So after three losses the task is on trial: its
-//!   probation is long, and it starts only while its pool is calm. A task that crashes its workers loses them in a calm
-//!   pool too; one without fault is served there.
+//! * A task that was just starting when its worker was lost becomes a suspect. From then on it
+//!   starts on probation: on a worker that has just answered, where nothing else is just starting
+//!   and where the least would be lost; nothing else starts there until the suspect has been at
+//!   work for a while. If workers keep being lost under such starts, only this task can be the
+//!   cause, and its job is given up.
+//! * If another worker is lost at the same time in the same rack or pool, with no suspect on it,
+//!   the failure is larger than one worker and identifies no task. The same holds for a VM that
+//!   loses one worker after another.
+//! * A loss under a task that was just starting says nothing about the pool until that task
+//!   survives another start. In a busy pool something is starting on nearly every worker that is
+//!   lost, and only the next start shows what the cause was.
+//! * A task with [`LOSSES_MAX`] losses is given up whatever their causes. This also bounds tasks
+//!   that crash their worker some time after their start. No single loss tells such a task from one
+//!   that was there by chance: both can lose a worker at any time at work, and other workers can be
+//!   lost at the same time. So after three losses the task is on trial: its probation is long, and
+//!   it starts only while its pool is stable. A task that crashes its workers does so in a stable
+//!   pool too; a task without fault completes there.
 //!
-//! A loss is counted in the same record that takes the run off the books, and each next run needs that
-//! record: no change of leader, restart or repeated news counts one twice or forgets it. What else was lost in its
-//! pool is on the log from a task's second loss on: a successor that knew nothing of it would take any pool for calm.
+//! A loss is counted in the same log record that removes the run, and every later run depends on
+//! that record. So no change of leader, restart or repeated report counts a loss twice or forgets
+//! it. From a task's second loss on, the log also keeps the other losses of its pool: a successor
+//! without them would take any pool for stable.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -35,52 +41,60 @@
 use crate::scheduler::job::TaskRun;
 use crate::scheduler::worker::PlacedRun;
 
-/// Time at work, by the worker's clock, after which a start is not what ends its worker, in milliseconds. A longer time
-/// suspects more tasks that merely were there, and gives other failures longer to fall into a probation.
+/// Time at work, by the worker's clock, after which a start no longer counts as the cause of the
+/// worker's loss, in milliseconds. A longer time makes suspects of more tasks that merely were
+/// there, and lets more unrelated failures fall into a probation.
 pub const CRASH_WINDOW_MS: u64 = 30;
-/// The same for a task that has lost several workers, and for services at any time, in milliseconds: a
-/// service lasts for weeks, and outlives many workers.
+/// The same for a task that has lost several workers, and for services at any time, in
+/// milliseconds: a service runs for weeks and outlives many workers.
 pub const LONG_CRASH_WINDOW_MS: u64 = 5_000;
-/// Workers lost at its start from which a task is given up: one that it shared with others, and two on
-/// probation. Two in all would be too few, as failures of other causes follow each other within a second.
+/// Workers lost at its start from which a task is given up: one that it shared with others, and two
+/// on probation. Two in all would be too few, as failures of other causes follow each other within
+/// a second.
 pub const LOSSES_AT_START_MAX: u32 = 3;
-/// Workers lost under a task from which it is given up, whatever the reasons were. After three crashes its
-/// callers bear two starts more and not a third.
+/// Workers lost under a task from which it is given up, whatever the causes. After three crashes
+/// callers tolerate two more starts, but not a third.
 pub const LOSSES_MAX: u32 = 5;
-/// Time within which the losses of two workers may have one cause, in milliseconds: silence is noticed
-/// after 0.3 to 0.8 s, and the VM list shows it a quarter of a second later.
+/// Time within which the losses of two workers may have one cause, in milliseconds: silence is
+/// noticed after 0.3 to 0.8 s, and the VM list shows it a quarter of a second later.
 const CORRELATION_WINDOW_MS: u64 = 1_000;
-/// Time for which a verdict waits for the news of other workers, in milliseconds.
+/// Time for which the decision to give up a task is delayed, in milliseconds: other losses of the
+/// same time become known only then.
 pub const GIVE_UP_DELAY_MS: u64 = 800;
-/// Workers of other pools and racks whose loss at one time is a larger failure.
+/// Lost workers of other pools and racks from which simultaneous losses count as one larger
+/// failure.
 const CORRELATED_LOSSES_MIN: usize = 2;
-/// Time for which a VM that has lost a worker is no witness, in milliseconds: some go down and up by turns,
-/// and their next loss tells of nobody.
+/// Time for which a VM that has lost a worker is not used as evidence, in milliseconds: some VMs
+/// flap, and their next loss identifies no task.
 const FLAPPING_MS: u64 = 15_000;
-/// Time for which it is kept whom a loss was counted against, in milliseconds: a task that crashes its workers waits
-/// for room on probation, and is convicted long after its first loss.
+/// Time for which the tasks that a loss was counted against are remembered, in milliseconds: a task
+/// that crashes its workers waits for free capacity on probation, and is identified long after its
+/// first loss.
 const LOSS_RETENTION_MS: u64 = 60_000;
-/// Losses of a pool that the log keeps.
+/// Most losses of a pool that the log keeps.
 const LOGGED_LOSSES_MAX: usize = 16;
-/// Workers lost under a task from which the log keeps what else was lost in its pool.
+/// Workers lost under a task from which the log keeps the other losses of its pool.
 const LOGGED_LOSSES_FROM: u32 = 1;
-/// Workers lost under a task from which it starts in a calm pool only.
+/// Workers lost under a task from which it starts only in a stable pool.
 const TRIAL_LOSSES_MIN: u32 = 3;
-/// Time that a VM of a calm pool lasts before the first such start, in milliseconds; twice that before the next.
+/// Mean uptime of a stable pool's VMs before the first such start, in milliseconds; twice that
+/// before the next.
 const STABLE_UPTIME_MS: u64 = 12_000;
-/// Age up to which a loss that the log tells of may be part of unrest that goes on, in milliseconds.
+/// Age up to which a loss from the log may belong to a series that still goes on, in milliseconds.
 const ONGOING_LOSSES_MS: u64 = 2 * STABLE_UPTIME_MS;
-/// One VM in so many may be lost at any rate: suspects keep off those that were lost lately.
+/// One VM in so many may be lost at any rate in a stable pool: suspects avoid VMs that were lost
+/// recently.
 const TOLERATED_VMS_PART: usize = 8;
-/// Time for which a pool is watched without a task on trial before it starts there again, in milliseconds: the loss of
-/// a worker is noticed within a second, and what was starting there has then outlived its next start.
+/// Time for which a pool is observed without a task on trial before the task starts there again, in
+/// milliseconds: the loss of a worker is noticed within a second, and the tasks that were starting
+/// on it have then survived their next start.
 const OBSERVATION_MS: u64 = 2_000;
-/// Longest time that a task waits for its pool to become calm, in milliseconds.
+/// Longest time that a task waits for its pool to become stable, in milliseconds.
 const STABLE_WAIT_MAX_MS: u64 = 15_000;
 
 impl LossCount {
-    /// Time at work after which a task's start is over as a danger, in milliseconds; 0 for a task that is
-    /// not on probation.
+    /// Time at work after which a start of the task no longer endangers its worker, in
+    /// milliseconds; 0 for a task that is not on probation.
     pub fn probation_ms(&self) -> u64 {
         match self.at_start {
             _ if self.is_on_trial() => LONG_CRASH_WINDOW_MS,
@@ -89,22 +103,23 @@
         }
     }
 
-    /// Whether the task is on trial: the loss of its next worker must tell of it alone.
+    /// Whether the task is on trial: the loss of its next worker must say something about this task
+    /// alone.
     pub fn is_on_trial(&self) -> bool {
         self.total >= TRIAL_LOSSES_MIN
     }
 
-    /// Whether the log must keep what else was lost in its pool.
+    /// Whether the log must keep the other losses of the task's pool.
     fn is_logged(&self) -> bool {
         self.total >= LOGGED_LOSSES_FROM
     }
 
-    /// Time that each VM of a pool lasts in which a task on trial may start, in milliseconds.
+    /// Mean uptime of a pool's VMs from which a task on trial may start there, in milliseconds.
     fn required_uptime_ms(&self) -> u64 {
         STABLE_UPTIME_MS << self.total.saturating_sub(TRIAL_LOSSES_MIN).min(1)
     }
 
-    /// Whether so many were lost that the task must not start again.
+    /// Whether the task has lost so many workers that it must not start again.
     pub fn is_exhausted(&self) -> bool {
         self.total >= LOSSES_MAX
     }
@@ -114,36 +129,36 @@
         self.total + 1 >= LOSSES_MAX
     }
 
-    /// One worker more was lost.
+    /// Counts one more lost worker.
     pub(crate) fn add(&mut self, is_at_start: bool) {
         self.total += 1;
         self.at_start += u32::from(is_at_start);
     }
 
-    /// A worker that was taken for lost has answered, or was lost by another task.
+    /// Reverts one loss: the worker has answered after all, or another task was the cause.
     pub(crate) fn revert(&mut self, is_at_start: bool) {
         self.total = self.total.saturating_sub(1);
         self.at_start = self.at_start.saturating_sub(u32::from(is_at_start));
     }
 }
 
-/// How it is known that a worker's life is over.
+/// How the end of a worker's incarnation became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationEnd {
-    /// Another life answers at its address.
+    /// Another incarnation answers at its address.
     OtherIncarnation,
-    /// It has begun anew under its name.
+    /// It has restarted under its name.
     Restarted,
-    /// Its VM shows another life, or none.
+    /// Its VM shows another incarnation, or none.
     NotOnVm,
     /// Its VM is in another pool.
     Moved,
-    /// Its VM has taken a command that ends it.
+    /// Its VM has accepted a command that ends it.
     Commanded,
 }
 
 impl IncarnationEnd {
-    /// The words for the log.
+    /// Text for the log.
     pub fn description(self) -> &'static str {
         match self {
             IncarnationEnd::OtherIncarnation => "another life answers",
@@ -154,7 +169,7 @@
         }
     }
 
-    /// Whether nobody wanted it.
+    /// Whether the end was unplanned.
     pub fn is_loss(self) -> bool {
         matches!(
             self,
@@ -170,15 +185,15 @@
     pub task: TaskKey,
     /// Run number.
     pub run: u32,
-    /// What was booked for it.
+    /// Its resources and its time at work, as far as known.
     pub placed: PlacedRun,
-    /// Started by an earlier leader, and not told of by its worker since; or we are behind ourselves. For how
-    /// long it was at work is not known.
+    /// Whether the time for which the run was at work is unknown: an earlier leader started it and
+    /// the worker has not reported it since, or this leader itself lags behind.
     pub is_age_unknown: bool,
 }
 
 impl AffectedRun {
-    /// Whether its start may have been the cause.
+    /// Whether its start may have caused the loss.
     pub fn may_be_cause(&self) -> bool {
         !self.placed.has_worked(CRASH_WINDOW_MS) || self.placed.is_on_probation()
     }
@@ -188,12 +203,11 @@
         !self.placed.has_worked(CRASH_WINDOW_MS) && !self.is_age_unknown
     }
 
-    /// Whether it may have crashed its worker by its start.
     fn is_suspect(&self) -> bool {
         self.is_at_start() || self.placed.is_on_probation()
     }
 
-    /// Whether its worker's loss says nothing of it.
+    /// Whether the loss of its worker says nothing about it.
     pub fn is_exempt(&self) -> bool {
         self.placed.is_service && self.placed.has_worked(LONG_CRASH_WINDOW_MS)
     }
@@ -204,41 +218,39 @@
 pub(crate) struct CountedRun {
     /// The task.
     pub task: TaskKey,
-    /// Whether it was counted as lost at the task's start.
+    /// Whether it was counted as a loss at the task's start.
     pub is_at_start: bool,
-    /// Whether the task itself may have crashed the worker by starting.
+    /// Whether a start of the task may have crashed the worker.
     may_be_cause: bool,
 }
 
-/// A worker that was lost lately.
 #[derive(Clone, Debug)]
 struct RecentLoss {
     at_ms: u64,
     entry: WorkerEntry,
-    /// Tasks that ran there.
     running_tasks: Vec<TaskKey>,
-    /// Jobs that were just starting there.
     starting_jobs: Vec<JobId>,
-    /// Whom it was counted against.
+    /// Tasks that the loss was counted against.
     counted: Vec<CountedRun>,
     /// Whether one of them was on probation, and so is likely to be the cause.
     had_probation: bool,
-    /// Tasks that may have crashed it: those that were just starting there or were on probation, and have not
-    /// outlived a start since.
+    /// Tasks that may have crashed it: they were just starting there or on probation, and have not
+    /// survived a start since.
     suspects: Vec<TaskKey>,
-    /// Whether the VM had lost another one not long before.
+    /// Whether the VM had lost another worker shortly before.
     had_recent_loss: bool,
 }
 
 impl RecentLoss {
-    /// Whether it came at that time, and of something else than a suspect or the VM's own trouble.
+    /// Whether it came at about that time, and neither a suspect nor trouble of the VM itself
+    /// explains it.
     fn is_independent(&self, at_ms: u64) -> bool {
         self.at_ms.abs_diff(at_ms) <= CORRELATION_WINDOW_MS
             && !self.had_probation
             && !self.had_recent_loss
     }
 
-    /// Whether one of its tasks may be the cause, so that it tells nothing of the pool.
+    /// Whether one of its tasks may be the cause, so that it says nothing about the pool.
     fn is_explained(&self) -> bool {
         !self.suspects.is_empty()
     }
@@ -251,14 +263,14 @@
 /// Why a task may have to be given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GiveUpCause {
-    /// It has lost a worker at its start, on probation.
+    /// It has lost workers at its starts on probation, and nothing else was starting there.
     SoleSuspect,
     /// It has lost as many workers as a task may.
     LossLimit,
 }
 
-/// A task that may have to be given up: once it is known which other workers went then, and whether another task
-/// is convicted of the losses that were counted against it.
+/// A task that may have to be given up. The decision waits until the other losses of that time are
+/// known, and whether another task caused the losses that were counted against this one.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingGiveUp {
     /// Why.
@@ -271,17 +283,17 @@
     pub entry: WorkerEntry,
 }
 
-/// The pool of a task, as far as it matters for when the task may start.
+/// The facts about a task's pool that decide when the task may start.
 pub(crate) struct PoolView<'a> {
     /// Its service.
     pub service: &'a str,
     /// VMs that run workers of it.
     pub vms: usize,
-    /// Whether the task is one of a service.
+    /// Whether the task belongs to a service.
     pub is_for_service: bool,
 }
 
-/// A loss of which the log tells.
+/// A loss read from the log.
 #[derive(Clone, Debug)]
 struct InheritedLoss {
     at_ms: u64,
@@ -289,23 +301,24 @@
     vm: LostVm,
 }
 
-/// Workers that were lost lately, and what is still to be decided about them.
+/// Workers that were lost recently, and the decisions that are still due about them.
 #[derive(Debug, Default)]
 pub(crate) struct LossTracker {
     recent: VecDeque<RecentLoss>,
     pending: VecDeque<PendingGiveUp>,
-    /// VMs whose workers were lost under earlier leaders, as far as the log tells.
+    /// VMs whose workers were lost under earlier leaders, as far as the log shows.
     inherited: Vec<InheritedLoss>,
-    /// Tasks that are suspected of any recent loss.
+    /// Suspects of all recent losses.
     suspects: BTreeSet<TaskKey>,
-    /// Jobs with tasks that have lost so many workers that the log keeps what else is lost in their pools.
+    /// Jobs with tasks that have lost so many workers that the log keeps the other losses of their
+    /// pools.
     logged_jobs: BTreeSet<JobId>,
     /// When this leader began, in milliseconds.
     opened_ms: u64,
 }
 
 impl LossTracker {
-    /// A watch that begins now.
+    /// An empty tracker of a leader that begins now.
     pub fn open(now: u64) -> LossTracker {
         LossTracker { opened_ms: now, ..LossTracker::default() }
     }
@@ -315,8 +328,8 @@
         self.opened_ms
     }
 
-    /// What an earlier leader wrote of a pool. Unrest that was still going on counts as lasting until now: what came
-    /// after the record is not known.
+    /// Restores a pool's losses as an earlier leader logged them. A series that was still going on
+    /// counts as lasting until now, since nothing after the record is known.
     pub fn restore(&mut self, service: &Arc<str>, lost: &[LostVm], now: u64, wall_ms: u64) {
         self.inherited.extend(lost.iter().map(|vm| InheritedLoss {
             at_ms: match wall_ms.saturating_sub(vm.lost_ms) {
@@ -328,7 +341,7 @@
         }));
     }
 
-    /// What the next leader must know of a pool.
+    /// A pool's losses that the next leader must know.
     pub fn logged_losses(&self, service: &str, now: u64, wall_ms: u64) -> Vec<LostVm> {
         let wall_at = |at_ms: u64| wall_ms.saturating_sub(now.saturating_sub(at_ms));
         let is_kept = |at_ms: u64| now <= at_ms + LOSS_RETENTION_MS;
@@ -357,7 +370,7 @@
         lost
     }
 
-    /// Time since each VM of a pool was lost under something else than that task, the latest first.
+    /// Time since each VM of a pool was lost without that task on it, the latest first.
     fn loss_ages(&self, service: &str, key: &TaskKey, now: u64) -> Vec<u64> {
         let mut latest: BTreeMap<SocketAddr, u64> = BTreeMap::new();
         for loss in self.inherited.iter().filter(|loss| &*loss.service == service) {
@@ -375,7 +388,8 @@
         ages
     }
 
-    /// Whether a task waits, by its losses, until its pool of so many VMs is calm, and was seen so without the task.
+    /// Whether a task must wait, because of its losses, until its pool is stable and has been
+    /// observed without the task.
     pub fn has_to_wait(
         &self,
         key: &TaskKey,
@@ -389,7 +403,7 @@
             && (is_observed || !self.is_stable(pool, key, task.losses.required_uptime_ms(), now))
     }
 
-    /// Whether a task on trial still waits for the time and the VM that it asks for.
+    /// Whether a task on trial may go on waiting for the right time and VM.
     pub fn may_keep_waiting(&self, task: &TaskRun, is_for_service: bool, now: u64) -> bool {
         let since_ms = task.waiting_since_ms.max(self.opened_ms);
         task.losses.is_on_trial()
@@ -397,8 +411,8 @@
             && !task.is_overdue(is_for_service, now)
     }
 
-    /// Whether over no recent time, up to `uptime_ms`, VMs of a pool were lost at such a rate that they would not last
-    /// that long, whatever that task did.
+    /// Whether the VMs of a pool have a mean uptime of `uptime_ms` over every recent period up to
+    /// that length, losses with that task aside.
     fn is_stable(&self, pool: &PoolView<'_>, key: &TaskKey, uptime_ms: u64, now: u64) -> bool {
         let vms = u64::try_from(pool.vms).unwrap_or(u64::MAX);
         let ages = self.loss_ages(pool.service, key, now);
@@ -407,30 +421,31 @@
             .all(|(count, age)| age.saturating_mul(vms) >= count.min(vms).saturating_mul(uptime_ms))
     }
 
-    /// Whether no worker of a pool was lost for so long, by whatever cause; what was lost under earlier leaders aside.
+    /// Whether no worker of a pool was lost within that time, for any reason; losses under earlier
+    /// leaders aside.
     pub fn is_loss_free(&self, service: &str, ms: u64, now: u64) -> bool {
         let mut lost = self.recent.iter().filter(|loss| &*loss.entry.service == service);
         !lost.any(|loss| now < loss.at_ms + ms)
     }
 
-    /// A job's task has lost so many workers.
+    /// Notes how many workers a task of a job has lost.
     pub fn track_losses(&mut self, job: JobId, losses: &LossCount) {
         if losses.is_logged() {
             self.logged_jobs.insert(job);
         }
     }
 
-    /// Jobs for which the log keeps what is lost in their pools.
+    /// Jobs for which the log keeps the losses of their pools.
     pub fn logged_jobs(&self) -> &BTreeSet<JobId> {
         &self.logged_jobs
     }
 
-    /// A job is over.
+    /// Forgets a finished job.
     pub fn forget_job(&mut self, job: JobId) {
         self.logged_jobs.remove(&job);
     }
 
-    /// A worker was lost with these runs.
+    /// Adds the loss of a worker with these runs.
     pub fn insert(&mut self, entry: &WorkerEntry, affected: &[AffectedRun], now: u64) {
         self.recent.retain(|loss| now <= loss.at_ms + LOSS_RETENTION_MS);
         let running_tasks = affected.iter().map(|run| run.task).collect();
@@ -457,13 +472,13 @@
         self.suspects = self.recent.iter().flat_map(|loss| loss.suspects.clone()).collect();
     }
 
-    /// Whether a recent loss may be this task's doing.
+    /// Whether this task may have caused a recent loss.
     pub fn is_suspect(&self, task: &TaskKey) -> bool {
         self.suspects.contains(task)
     }
 
-    /// A task has outlived a start, so that it did not crash the workers that were lost at earlier ones; the services
-    /// of those whose loss nothing explains any more.
+    /// Clears a task that has survived a start: it did not crash the workers that were lost at its
+    /// earlier ones. Returns the services with losses that are no longer explained.
     pub fn clear_suspect(&mut self, task: &TaskKey) -> BTreeSet<Arc<str>> {
         let mut services = BTreeSet::new();
         if !self.suspects.remove(task) {
@@ -478,7 +493,7 @@
         services
     }
 
-    /// Whether a worker was lost at this address not long ago, of which no task is known to be the cause.
+    /// Whether a worker at this address was lost recently and no task is known to be the cause.
     pub fn has_recent_loss(&self, address: SocketAddr, now: u64) -> bool {
         let is_recent = |loss: &&RecentLoss| now <= loss.at_ms + FLAPPING_MS;
         let is_inherited =
@@ -487,7 +502,7 @@
             || self.inherited.iter().any(is_inherited)
     }
 
-    /// The same of a loss that no task is likely to have caused: its VM may go down again by itself.
+    /// The same for a loss that no task is likely to have caused: the VM may fail again by itself.
     pub fn has_unexplained_loss(&self, address: SocketAddr, now: u64) -> bool {
         let is_recent = |at_ms: u64| now <= at_ms + FLAPPING_MS;
         let own = self.recent.iter().filter(|loss| is_recent(loss.at_ms) && !loss.is_explained());
@@ -496,18 +511,21 @@
             || inherited.any(|loss| loss.vm.address == address)
     }
 
-    /// Whether other workers were lost when a task of that job lost its own by something else than a suspect: one
-    /// beside it, or several anywhere. Those that it may have crashed itself don't count.
+    /// Whether other workers were lost at about the time when a task of that job lost its own, and
+    /// not by a suspect: one in the same pool or rack, or several anywhere. Losses that the job may
+    /// have caused itself don't count.
     pub fn is_correlated_failure(&self, job: JobId, entry: &WorkerEntry, lost_ms: u64) -> bool {
         let others = self.recent.iter().filter(|loss| !loss.starting_jobs.contains(&job));
         is_correlated(others.filter(|loss| loss.is_independent(lost_ms)), entry)
     }
 
-    /// A job is known to crash its workers as it starts: what was lost then tells of no VM, and of none of the tasks
-    /// that it took along; those are returned.
+    /// Attributes losses to a job that is known to crash its workers as it starts. They then say
+    /// nothing about the VMs, nor about the other tasks that were lost with them; those tasks are
+    /// returned.
     ///
-    /// A task that was just starting there itself stays counted, but for the loss of `crashed_worker`, the worker
-    /// on which nothing else can have been the cause: two tasks that crash their workers may have met.
+    /// A task that was just starting there itself stays counted, except for the loss of
+    /// `crashed_worker`, on which nothing else can have been the cause: two tasks that crash their
+    /// workers may have met.
     pub fn attribute_to(&mut self, job: JobId, crashed_worker: &str) -> Vec<CountedRun> {
         let (explained, open): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.recent)
             .into_iter()
@@ -522,12 +540,12 @@
         cleared
     }
 
-    /// A verdict is to be given later.
+    /// Defers a decision to give up a task.
     pub fn defer_give_up(&mut self, pending: PendingGiveUp) {
         self.pending.push_back(pending);
     }
 
-    /// The next verdict that is due.
+    /// The next decision that is due.
     pub fn take_due_give_up(&mut self, now: u64) -> Option<PendingGiveUp> {
         let is_due =
             self.pending.front().is_some_and(|next| now >= next.lost_ms + GIVE_UP_DELAY_MS);
@@ -535,8 +553,7 @@
     }
 }
 
-/// Whether losses that came together with that of a worker, and of something else than a suspect, show a failure
-/// that is larger than one worker.
+/// Whether independent losses show a failure that is larger than the loss of this one worker.
 fn is_correlated<'a>(
     independent: impl Iterator<Item = &'a RecentLoss>,
     entry: &WorkerEntry,
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals of workers' leases, and what their reports tell.
+//! Renewal of workers' leases, and handling of the reports that answer the renewals.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,55 +13,58 @@
 use crate::scheduler::losses::{CRASH_WINDOW_MS, IncarnationEnd};
 use crate::scheduler::{LATE_AGE_MS, Scheduler, SchedulerEvent};
 
-/// Longest wait for an exit in one renewal. Also the age at which a worker's silence is noticed and
-/// its gauges are read again; shorter waits cost a call each.
+/// Longest wait for an exit in one renewal. It is also the interval at which a worker's silence is
+/// noticed and its gauges are read; shorter waits cost a call each.
 const RENEW_WAIT: Duration = Duration::from_millis(500);
-/// The same while a suspect is on probation there: its report is waited for before anything else starts.
+/// The same while a suspect is on probation on the worker: nothing else starts there before its
+/// report.
 const PROBATION_WAIT: Duration = Duration::from_millis(CRASH_WINDOW_MS);
-/// Time for an answer beyond the wait that was asked for.
+/// Time for an answer beyond the requested wait.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same while answers wait in a line of ours: longest, and how much longer for each part of it.
+/// Limits of both while answers queue on the leader's own link. The wait grows by this multiple of
+/// the queueing delay.
 const RENEW_WAIT_MAX: Duration = Duration::from_millis(1_600);
 const RENEW_WAIT_FACTOR: u32 = 10;
 const RENEW_TIMEOUT_MAX: Duration = Duration::from_millis(1_500);
-/// Longest time that an answer which is read at all has been on its way, in milliseconds.
+/// Longest time that an answer can have been in flight when it is read, in milliseconds.
 pub(crate) const ANSWER_AGE_MAX_MS: u64 =
     whole_ms(RENEW_WAIT_MAX) + whole_ms(RENEW_TIMEOUT_MAX) + whole_ms(LATE_ANSWER_GRACE);
-/// Least time between two renewals of a worker, in milliseconds: exits that come together are then
-/// taken together, for one call and one append.
+/// Least time between two renewals of a worker, in milliseconds: exits that come together then
+/// share one call and one append.
 const RENEW_INTERVAL_MS: u64 = 40;
-/// Most that this time grows by while answers wait in a line of ours, in milliseconds.
+/// Largest increase of this time while answers queue on the leader's own link, in milliseconds.
 const QUEUE_INTERVAL_MAX_MS: u64 = 200;
-/// The same for a worker whose exits can't be acknowledged: each report lists them all again, at once.
+/// The same for a worker whose exits can't be acknowledged: each report lists all of them again, at
+/// once.
 const WITHHELD_INTERVAL_MS: u64 = 400;
-/// Time between two tries to reach a worker that doesn't answer, in milliseconds.
+/// Time between two attempts to reach a worker that doesn't answer, in milliseconds.
 const SILENT_INTERVAL_MS: u64 = 150;
-/// Age of a worker's last report from which the next one is not waited for, in milliseconds, longer than any
-/// renewal takes: it was idle, and its clock is to be known anew before its first start goes out.
+/// Age of a worker's last report from which the next renewal does not wait, in milliseconds, longer
+/// than any renewal takes: the worker was idle, and its clock must be sampled again before its
+/// first start is sent.
 const IDLE_REPORT_MS: u64 = 4_000;
-/// Time that exits may wait for the log before the leases are renewed all the same, in
-/// milliseconds.
+/// Time that exits may wait for the log before the leases are renewed anyway, in milliseconds.
 const COMMIT_WAIT_MS: u64 = 400;
-/// Exits in one report at most, as the platform states; a full report may hide others.
+/// Most exits in one report, as the platform specifies; a full report may hide others.
 const REPORT_EXITS_MAX: usize = 500;
-/// First wait before a service task that failed is started again, in milliseconds.
+/// First backoff before a failed service task is started again, in milliseconds.
 const SERVICE_BACKOFF_MS: u64 = 100;
-/// Longest such wait, in milliseconds: well under the six seconds in which it must be back.
+/// Longest backoff, in milliseconds: well under the six seconds in which the task must be back.
 const SERVICE_BACKOFF_MAX_MS: u64 = 1_500;
 
-/// What to do about a worker's leases.
+/// The next step in renewing a worker's leases.
 #[derive(Clone, Debug)]
 pub enum RenewPlan {
-    /// Call it.
+    /// Call it, with this timeout beyond the wait of the call.
     Call(WorkerTarget, RenewCall, Duration),
-    /// Look again after this time, or when woken.
+    /// Plan again after this time, or when woken.
     Wait(Duration),
-    /// Its life is over or it is not listed any more.
+    /// Its incarnation has ended, or it is no longer listed.
     Stop,
 }
 
 impl Scheduler {
-    /// What to do next about a worker's leases.
+    /// The next step in renewing a worker's leases.
     pub fn renew_plan(&mut self, id: &Arc<str>, now: u64) -> RenewPlan {
         if self.is_deposed {
             return RenewPlan::Stop;
@@ -84,19 +87,19 @@
         {
             return RenewPlan::Wait(Duration::from_secs(60));
         }
-        // The same exits would be listed again at once until the log has them.
+        // The worker would list the same exits again at once until the log has them.
         let waits_for_log = worker.exits_seen > worker.exits_committed;
         let is_recent = now < worker.report_ms + COMMIT_WAIT_MS;
         if worker.has_accepted_token && waits_for_log && is_recent {
             return RenewPlan::Wait(Duration::from_millis(worker.report_ms + COMMIT_WAIT_MS - now));
         }
         // Leases of a worker that doesn't answer must run out, or its tasks could never be started
-        // elsewhere; so must those of runs that are all to be stopped, as each stop can be lost.
-        // One whose answers come late looks silent whenever a renewal is due.
+        // elsewhere. So must those of a worker whose runs are all to be stopped, as each stop can
+        // be lost. A worker whose answers come late looks silent whenever a renewal is due.
         let answers_late = worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS);
         let may_extend = is_confirmed && is_wanted && (!is_silent || answers_late);
         let lease_until_ms = if may_extend { worker.lease_until(lease_ms, now) } else { None };
-        // An exit that is listed already would end the wait at once.
+        // An exit that is already listed would end the wait at once.
         let may_wait = worker.has_accepted_token
             && !is_silent
             && !waits_for_log
@@ -124,20 +127,21 @@
         self.workers.get(id).is_some_and(|worker| !worker.runs.keys().all(is_stopping))
     }
 
-    /// Wait for an exit that is asked for. Renewals without news are what a choked link can best do
-    /// without: a hundred workers' take half of 2 Mbit/s at the shortest wait.
+    /// Requested wait for an exit. A congested link can best do without renewals that bring no
+    /// change: at the shortest wait, those of a hundred workers take half of 2 Mbit/s.
     fn renew_wait(&self) -> Duration {
         let queue_delay = Duration::from_millis(self.pace.queue_delay_ms);
         (RENEW_WAIT + queue_delay * RENEW_WAIT_FACTOR).min(RENEW_WAIT_MAX)
     }
 
-    /// Time for an answer beyond that wait: what stands in line with it is not the worker's silence.
+    /// Time for an answer beyond that wait. Queueing delay on the leader's own link must not count
+    /// as the worker's silence.
     fn renew_timeout(&self) -> Duration {
         let queue_delay = Duration::from_millis(self.pace.queue_delay_ms);
         (RENEW_TIMEOUT + queue_delay * 2).min(RENEW_TIMEOUT_MAX)
     }
 
-    /// The answer to a renewal that was sent at `sent_ms` and given up has come.
+    /// Handles a late answer to a renewal that was sent at `sent_ms` and timed out.
     pub fn handle_late_renewal(
         &mut self,
         id: &Arc<str>,
@@ -154,7 +158,7 @@
         self.handle_report(id, call, report, sent_ms, now);
     }
 
-    /// A renewal that was sent at `sent_ms` was answered, or not.
+    /// Handles the outcome of a renewal that was sent at `sent_ms`.
     pub fn handle_renewal_outcome(
         &mut self,
         id: &Arc<str>,
@@ -215,17 +219,18 @@
         worker.confirm_lease(call.lease_until_ms.unwrap_or(0));
         worker.exits_acknowledged = worker.exits_acknowledged.max(call.acked_exits);
         let has_more = !report.exits.is_empty() || !report.running.is_empty();
-        // The first report under our token gave no lease yet.
+        // The first report under this leader's token granted no lease yet.
         let interval_ms = match was_fenced && !was_silent {
             true if worker.has_withheld_exit() => WITHHELD_INTERVAL_MS,
-            // More exits then share a report, and a report is the larger part of what comes in.
+            // More exits then share a report, and reports are the larger part of the incoming
+            // traffic.
             true => RENEW_INTERVAL_MS + self.pace.queue_delay_ms.min(QUEUE_INTERVAL_MAX_MS),
             false => 0,
         };
         worker.next_renewal_ms = now + if has_more { interval_ms } else { 0 };
         if !was_fenced || was_silent {
             self.needs_dispatch = true;
-            let change = if was_fenced { "answers again" } else { "is ours" };
+            let change = if was_fenced { "answers again" } else { "accepted our token" };
             let runs = self.workers.get(id).map_or(0, |worker| worker.runs.len());
             self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
         }
@@ -239,7 +244,7 @@
         self.adjust_throttles(id, &report.running, now);
     }
 
-    /// Takes in until when, by the worker's clock, the runs that it lists were at work.
+    /// Records up to which time, by the worker's clock, the runs that it lists were at work.
     fn record_work(&mut self, id: &Arc<str>, report: &WorkerReport, now: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let mut cleared = Vec::new();
@@ -290,7 +295,7 @@
             task.checkpoint.clone_from(&exit.checkpoint);
         }
         if exit.kind == ExitKind::Done {
-            // One that never was seen at work tells nothing.
+            // A run that was never seen at work has no known run time.
             let begun = live.map(|(_, begun_ms)| begun_ms).filter(|begun_ms| *begun_ms > 0);
             task.took_ms = begun.map(|begun_ms| now.saturating_sub(begun_ms));
         }
@@ -299,7 +304,8 @@
             self.remove_run(&exit.task, exit.run, now);
         }
         match exit.kind {
-            // Also of a run that was taken for over: it did end so, and must not be run again.
+            // This includes a run that had been considered ended: it did complete, and must not run
+            // again.
             ExitKind::Done if !spec.is_service => {
                 self.clear_suspect(&exit.task, now);
                 self.record_success(id, now);
@@ -329,7 +335,7 @@
     }
 
     fn record_failure(&mut self, id: &Arc<str>, key: &TaskKey, now: u64) {
-        // A task that has failed elsewhere too is more likely at fault itself.
+        // A task that has failed on other workers too is more likely at fault itself.
         let has_failed_elsewhere = self
             .jobs
             .get(&key.job)
@@ -345,12 +351,12 @@
         }
     }
 
-    /// A task is done: its copies stop, and the job may be completed.
+    /// Marks a task done: its copies stop, and the job may be complete.
     fn complete_task(&mut self, key: &TaskKey, now: u64) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let is_gang = job.spec(key).is_some_and(|spec| spec.is_gang);
         let Some(step) = job.step_mut(key) else { return };
-        // The members of a gang end together; one such end tells of all.
+        // The members of a gang end together, so one exit stands for all.
         let done: Vec<usize> = match is_gang {
             true => (0..step.tasks.len()).collect(),
             false => vec![usize::try_from(key.index).unwrap_or(usize::MAX)],
@@ -377,8 +383,8 @@
         }
     }
 
-    /// Learns from a step that is done how long the tasks of its queue take. Tasks that were started
-    /// more than once tell of a fault, or of a part of their work.
+    /// Learns the run times of a queue's tasks from a step that is done. Tasks that were started
+    /// more than once are left out: their times show a fault, or only part of their work.
     fn learn_runtime(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(declared_ms) = job.spec(key).map(|spec| spec.estimate_ms) else { return };
@@ -397,7 +403,7 @@
         self.runtimes.entry(queue).or_default().record(declared_ms, mean_ms);
     }
 
-    /// A run has failed: the task is tried again, or its job has failed.
+    /// Handles a failed run: the task is tried again, or its job has failed.
     fn handle_failed_run(&mut self, key: &TaskKey, run: u32, now: u64) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let attempts = self.queue_of(job).map_or(1, |queue| queue.attempts);
@@ -409,7 +415,7 @@
         }
         let Some(step) = job.step_mut(key) else { return };
         let failures = if spec.is_gang {
-            // The members carry one run number; their failures count once.
+            // The members share one run number, and their failures count once.
             let is_new = step.tasks.iter().all(|task| task.failed_run != run);
             for task in &mut step.tasks {
                 task.failures += u32::from(is_new);
@@ -428,7 +434,7 @@
         }
     }
 
-    /// Puts the next start of a service task off by a growing time.
+    /// Delays the next start of a service task with exponential backoff.
     fn back_off(&mut self, key: &TaskKey, now: u64) {
         let Some(task) = self.jobs.get_mut(&key.job).and_then(|job| job.task_mut(key)) else {
             return;
@@ -436,7 +442,7 @@
         let steps = task.failures.min(4);
         task.failures += 1;
         let wait = (SERVICE_BACKOFF_MS << steps).min(SERVICE_BACKOFF_MAX_MS);
-        // One that was at work for a while has not failed in a row.
+        // A task that was at work for a while has not failed repeatedly.
         let was_at_work = now.saturating_sub(task.last_serving_ms) < SERVICE_BACKOFF_MAX_MS;
         if was_at_work {
             task.failures = 0;
@@ -460,7 +466,7 @@
         self.stop_all(id, now);
     }
 
-    /// Compares what runs with the books.
+    /// Reconciles the runs that the worker lists with those placed on it.
     fn reconcile_runs(
         &mut self,
         id: &Arc<str>,
@@ -473,9 +479,9 @@
             running.iter().map(|listed| ((listed.task, listed.run), listed)).collect();
         let Some(worker) = self.workers.get(id) else { return };
         let placed: Vec<(TaskKey, u32)> = worker.runs.keys().copied().collect();
-        // A stop that an earlier leader sent is through by then. Until it is, the worker lists the
-        // run as if it stayed; counted as at work, another task of its step would be stopped beside
-        // it, and more be away than its disruption budget allows.
+        // By then a stop that an earlier leader sent has been carried out. Until then the worker
+        // lists the run as if it stayed. If that counted as at work, another task of its step would
+        // be stopped as well, and more tasks would be away than the disruption budget allows.
         let settled_ms = worker.token_accepted_ms + self.bounds.stop_ms;
         let is_settled = sent_ms > settled_ms;
         for (key, run) in &placed {
@@ -551,7 +557,8 @@
         }
     }
 
-    /// A booked run is not listed. Only what the worker was asked after it had confirmed counts.
+    /// Handles a placed run that is not listed. Only a report that was requested after the worker
+    /// had confirmed the run counts.
     fn handle_missing_run(
         &mut self,
         id: &Arc<str>,
@@ -573,7 +580,8 @@
         };
         let is_over = match live.phase {
             RunPhase::Planned | RunPhase::Starting => false,
-            // Our token was the first thing that this worker saw of us: no older start counts now.
+            // This leader's token was the first thing that the worker received from it: older
+            // starts are refused from then on.
             RunPhase::Inherited => true,
             RunPhase::Running | RunPhase::Stopping => {
                 live.answered_ms.is_some_and(|answered| sent_ms > answered)
@@ -586,8 +594,7 @@
         }
     }
 
-    /// Something runs that the books know nothing of: the books were right when it was taken off
-    /// them, so it must not go on.
+    /// Stops a run that is unknown to the leader. It was removed rightly, so it must not go on.
     fn stop_unknown_run(&mut self, id: &Arc<str>, key: &TaskKey, run: u32, now: u64) {
         let fence = self.fence_of(id);
         let placed = self.other_placed_run(key, run);
@@ -609,7 +616,7 @@
         }
     }
 
-    /// A run on the books of a task that allows no copies, beside this one.
+    /// Another placed run of the same task, if the task allows no copies.
     fn other_placed_run(&self, key: &TaskKey, run: u32) -> Option<u32> {
         let job = self.jobs.get(&key.job)?;
         job.spec(key).filter(|spec| !spec.allows_copies && !spec.is_gang)?;
@@ -623,12 +630,12 @@
     time.as_secs() * 1_000 + time.subsec_millis() as u64
 }
 
-/// Whether there is a checkpoint, and one that the log can hold beside all others.
+/// Whether there is a checkpoint that is small enough for the log to keep beside all others.
 fn is_storable(checkpoint: &str) -> bool {
     !checkpoint.is_empty() && checkpoint.len() <= CHECKPOINT_BYTES_MAX
 }
 
-/// The word for an exit in logs and metrics.
+/// Word for an exit in logs and metrics.
 pub fn exit_label(kind: ExitKind) -> &'static str {
     match kind {
         ExitKind::Done => "done",
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -1,4 +1,4 @@
-//! The life of a run on a worker: started, confirmed, stopped, or known to be over.
+//! Lifecycle of a run on a worker: started, confirmed, stopped, or known to have ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,23 +13,24 @@
 use crate::scheduler::worker::{PlacedRun, WorkSpan, WorkerState};
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
-/// Time between two looks at how runs get on, in milliseconds.
+/// Time between two checks of the runs' progress, in milliseconds.
 pub const SWEEP_INTERVAL_MS: u64 = 100;
-/// Time for a start or stop to be answered before it is sent again, in milliseconds; repeats are
-/// idempotent, so this only bounds the traffic to a worker that is slow to answer.
+/// Time after which an unanswered start or stop is sent again, in milliseconds; repeats are
+/// idempotent, so this only bounds the traffic to a worker that answers slowly.
 const COMMAND_RETRY_MS: u64 = 600;
-/// Time after which a start whose outcome was not told is sent again, in milliseconds: longer than its try takes
-/// through an executor. Repeats of tries under way would take the time of a busy leader from other starts.
+/// Time after which a start without a known outcome is sent again, in milliseconds: longer than an
+/// attempt takes through an executor. Repeats of attempts that are still in flight would delay
+/// other starts of a busy leader.
 const START_RETRY_MS: u64 = 1_500;
-/// Most doublings of the pause between two stops of a run to a worker that doesn't answer.
+/// How often at most the pause between two stops of a run doubles on a worker that doesn't answer.
 const STOP_DOUBLINGS_MAX: u32 = 3;
-/// Wait before a task that a worker refused is placed again, in milliseconds: by then the worker's
-/// next report has corrected the book.
+/// Pause before a task that a worker refused is placed again, in milliseconds: by then the worker's
+/// next report has corrected the leader's view of it.
 const REFUSED_PAUSE_MS: u64 = 60;
-/// Wait before a malformed task is tried again, in milliseconds.
+/// Pause before a malformed task is tried again, in milliseconds.
 const MALFORMED_PAUSE_MS: u64 = 2_000;
-/// Time that the rest of a gang that has lost a member is left to end by itself, in milliseconds: the
-/// workers end it too, as soon as they notice.
+/// Time that the rest of a gang has to end by itself after it has lost a member, in milliseconds:
+/// the workers end it too, as soon as they notice.
 const BROKEN_GANG_MS: u64 = 800;
 
 /// A command to a worker about one run.
@@ -42,12 +43,14 @@
 }
 
 impl Scheduler {
-    /// Books what a new leader read from the log on workers that may not be listed any more.
+    /// Places the runs that a new leader read from the log, on workers that may no longer be
+    /// listed.
     pub(crate) fn adopt_runs(&mut self, key: &TaskKey, now: u64) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(task) = job.task(key) else { return };
         let Some(mut placed) = placed_run(job.spec(key), task) else { return };
-        // How long they have been at work is not known. A pool full of services would take no start.
+        // How long they have been at work is not known. If services were not shared here, a pool
+        // full of them would accept no start.
         placed.is_shared = placed.is_service;
         let runs: Vec<(Arc<str>, u32)> =
             task.live.iter().map(|live| (live.worker.clone(), live.run)).collect();
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Gives a task to a worker; the start goes out once the log has it.
+    /// Places a new run of a task on a worker; its start is sent once the log has it.
     pub(crate) fn plan_run(&mut self, key: &TaskKey, run: u32, worker: &Arc<str>, now: u64) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let placed = job.task(key).and_then(|task| placed_run(job.spec(key), task));
@@ -80,7 +83,8 @@
         self.organisations.add_run(job.submission.organisation.as_ref(), &need);
         let whole_ms = self.bounds.cancel_ms;
         if let Some(entry) = self.workers.get_mut(worker) {
-            // The lease that its start brings ends soon, and nothing was renewed while nothing was wanted there.
+            // The lease that comes with the start ends soon, and a worker without wanted runs has
+            // not had its leases renewed.
             if !entry.has_lease_for(whole_ms, now) {
                 self.actions.push(SchedulerAction::RenewNow(worker.clone()));
             }
@@ -90,7 +94,7 @@
         self.emit(SchedulerEvent::Placed { task: *key, run, worker: worker.clone(), age_ms });
     }
 
-    /// Takes a run off the books: it is over, or was never begun.
+    /// Removes a run that has ended or was never begun.
     pub(crate) fn remove_run(&mut self, key: &TaskKey, run: u32, now: u64) {
         self.pending_commands.remove(&(*key, run));
         self.needs_dispatch = true;
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Stops one run. One that was not put on the log yet simply never starts.
+    /// Stops one run. A run that is not on the log yet is removed and never starts.
     pub(crate) fn stop_run(&mut self, key: &TaskKey, run: u32, reason: &'static str, now: u64) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(task) = job.task_mut(key) else { return };
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Hands out the starts and stops that are due.
+    /// Issues the starts and stops that are due.
     pub(crate) fn send_due(&mut self, now: u64) {
         if !self.is_confirmed(now) {
             return;
@@ -166,10 +170,10 @@
             let Some(worker) = self.workers.get(&id) else { continue };
             let is_silent = worker.silent_since_ms.is_some();
             let is_held = match phase {
-                // It extends no lease, and gets there where only the answers are late.
+                // A stop extends no lease, and it arrives where only the answers are late.
                 RunPhase::Stopping => !worker.may_take_stops() || is_silent && now < stop_due_ms,
-                // To a worker that doesn't answer it would prolong the time after which its runs are
-                // known to be over.
+                // A start to a worker that doesn't answer would delay the time at which its runs
+                // are known to have ended.
                 _ => is_silent || !worker.is_listed,
             };
             if is_held {
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Where calls reach a worker now; nothing while only the log tells of it.
+    /// Address of a worker for calls; `None` while it is known only from the log.
     pub fn target_of(&self, id: &str) -> Option<WorkerTarget> {
         self.workers.get(id).filter(|worker| worker.has_address()).map(WorkerState::target)
     }
@@ -198,14 +202,14 @@
         self.live_mut(key, run).is_some_and(|live| live.phase == RunPhase::Starting)
     }
 
-    /// Starts that were decided and not answered.
+    /// Starts that were decided and have no answer yet.
     pub(crate) fn open_starts(&self) -> usize {
         self.commits.pending_starts() + self.pending_commands.len()
     }
 
-    /// The command that a run needs at the moment at which it can be sent. It may have waited for
-    /// others to the same worker: what was right when it was handed out, such as a start of a task
-    /// that has meanwhile been done elsewhere, may be wrong now.
+    /// The command that a run needs now, at the moment when it can be sent. It may have waited
+    /// behind other commands to the same worker, and the command that was due when it was issued
+    /// may be wrong by now, such as a start of a task that has been done elsewhere meanwhile.
     pub fn command(&mut self, key: &TaskKey, run: u32, now: u64) -> Option<RunCommand> {
         if self.is_deposed || !self.is_confirmed(now) {
             return None;
@@ -256,7 +260,7 @@
         task.map(|task| task.checkpoint.clone()).unwrap_or_default()
     }
 
-    /// A start was not sent, as nobody could carry it out: it is due at once.
+    /// Handles a start that was not sent, since nobody could carry it out: it is due again at once.
     pub fn start_not_sent(&mut self, key: &TaskKey, run: u32, now: u64) {
         self.close_attempt(key, run);
         if let Some(live) = self.live_mut(key, run)
@@ -267,7 +271,7 @@
         }
     }
 
-    /// A start was answered, or not.
+    /// Handles the outcome of an attempt to start a run.
     pub fn handle_start_outcome(
         &mut self,
         worker: &Arc<str>,
@@ -282,8 +286,8 @@
                 self.handle_start_done(worker, key, run, *clock_ms, now)
             }
             CommandOutcome::Unknown => {
-                // It may be carried out seconds later. The same start again settles it: the worker
-                // takes a run once, however often it is told.
+                // The start may be carried out seconds later. Sending it again resolves the doubt:
+                // a worker begins a run once, however often it receives the start.
                 if let Some(live) = self.live_mut(key, run) {
                     live.is_in_doubt = true;
                     live.retry_ms = live.retry_ms.min(now + SWEEP_INTERVAL_MS);
@@ -295,7 +299,7 @@
                     worker.sample_clock(*clock, now);
                 }
                 self.handle_start_refused(worker, key, run, *refusal, now);
-                // The same start would be refused again.
+                // The worker would refuse the same start again.
                 if clock_ms.is_none()
                     && let Some(live) = self.live_mut(key, run)
                 {
@@ -305,7 +309,7 @@
         }
     }
 
-    /// The outcome of a try of a start is known.
+    /// Counts off an attempt whose outcome is known.
     fn close_attempt(&mut self, key: &TaskKey, run: u32) {
         if let Some(live) = self.live_mut(key, run) {
             live.open_tries = live.open_tries.saturating_sub(1);
@@ -359,8 +363,8 @@
                 return;
             }
             CommandRefusal::OldRun => {
-                // An earlier try was carried out and has ended, or the run was stopped: the next
-                // report lists its end. Taken for one that never ran, it would run again.
+                // An earlier attempt was carried out and has ended, or the run was stopped: the
+                // next report lists its exit. If it counted as never begun, it would run again.
                 if let Some(live) = self.live_mut(key, run)
                     && live.phase == RunPhase::Starting
                 {
@@ -370,7 +374,7 @@
                 self.actions.push(SchedulerAction::RenewNow(id.clone()));
                 return;
             }
-            // It has not begun, and its worker's clock is known anew.
+            // The run has not begun, and the worker's clock has just been sampled.
             CommandRefusal::LeaseExpired => {
                 if let Some(live) = self.live_mut(key, run) {
                     live.retry_ms = now;
@@ -388,12 +392,13 @@
             CommandRefusal::Malformed => {}
         }
         let Some(live) = self.live_mut(key, run) else { return };
-        // Another try has begun it, or it is being stopped: the refusal tells of this try alone.
+        // Another attempt has begun the run, or it is being stopped: the refusal concerns this
+        // attempt only.
         if live.phase != RunPhase::Starting {
             return;
         }
-        // Another try, without an answer so far, may be carried out when there is room again: the
-        // task would run twice. A stop makes the worker refuse that run for good.
+        // Another attempt without an answer so far may be carried out once there is free capacity,
+        // and the task would run twice. A stop makes the worker refuse that run for good.
         if live.may_start_late() {
             self.stop_run(key, run, "start in doubt", now);
             return;
@@ -410,7 +415,7 @@
         self.actions.push(SchedulerAction::RenewNow(id.clone()));
     }
 
-    /// A stop was answered, or not. The run is over only when the worker lists its end.
+    /// Handles the outcome of a stop. The run ends only when the worker lists its exit.
     pub fn handle_stop_outcome(
         &mut self,
         worker: &Arc<str>,
@@ -422,8 +427,8 @@
         match outcome {
             CommandOutcome::Done(_) => {
                 self.actions.push(SchedulerAction::RenewNow(worker.clone()));
-                // Its end is listed within the stop time; a run that never was there is shown by
-                // the next report.
+                // Its exit is listed within the stop time; if the run was never there, the next
+                // report shows it.
                 let stop_ms = self.bounds.stop_ms;
                 if let Some(live) = self.live_mut(key, run) {
                     live.retry_ms = now + stop_ms + COMMAND_RETRY_MS;
@@ -438,8 +443,9 @@
         }
     }
 
-    /// A worker refuses our token: a higher term was seen there. One that began anew meanwhile refuses what was
-    /// sent to its life before, which tells of no other leader.
+    /// Handles a worker's refusal of this leader's token: the worker has seen a higher term. A
+    /// worker that has restarted refuses calls to its previous incarnation, which does not imply
+    /// another leader.
     pub(crate) fn handle_fenced(&mut self, id: &str) {
         self.is_deposed |= self.workers.contains_key(id);
     }
@@ -452,12 +458,12 @@
         self.jobs.get_mut(&key.job)?.task_mut(key)
     }
 
-    /// The life of a worker is over: nothing runs there any more.
+    /// Ends a worker's incarnation: nothing runs there any more.
     pub(crate) fn end_incarnation(&mut self, id: &Arc<str>, end: IncarnationEnd, now: u64) {
         self.end_incarnations(std::slice::from_ref(id), end, now);
     }
 
-    /// The lives of workers are over, as is learned at one time.
+    /// Ends incarnations that became known to have ended at the same time.
     fn end_incarnations(&mut self, ids: &[Arc<str>], end: IncarnationEnd, now: u64) {
         let mut gone = Vec::with_capacity(ids.len());
         for id in ids {
@@ -485,7 +491,7 @@
         self.fleet.is_list_wanted = true;
     }
 
-    /// A run is over with its worker, or taken for over.
+    /// Removes a run that ended with its worker, or counts as ended.
     pub(crate) fn lose_run(
         &mut self,
         id: &Arc<str>,
@@ -500,11 +506,11 @@
         self.remove_run(key, run, now);
     }
 
-    /// Workers that don't answer: once every lease that they can have has run out, nothing runs
-    /// there.
+    /// Ends the runs of workers that don't answer once every lease that they can have has run out:
+    /// then nothing runs there.
     ///
-    /// Not while we are behind ourselves: the ends of the runs may be on their way to us, and a task that
-    /// is done would start again.
+    /// Nothing expires while this leader itself lags behind: exits of the runs may be on their way
+    /// to it, and tasks that are done would start again.
     pub(crate) fn expire_silent_workers(&mut self, now: u64) {
         if self.is_lagging(now) {
             return;
@@ -534,7 +540,7 @@
         }
     }
 
-    /// Buries workers that don't answer and whose VM no longer runs them.
+    /// Ends the incarnations of workers that don't answer and whose VM no longer runs them.
     pub(crate) fn end_vanished_workers(&mut self, asked_ms: u64, now: u64) {
         let Some(vm_states) = self.fleet.vm_states() else { return };
         let vanished: Vec<Arc<str>> = self
@@ -551,7 +557,7 @@
         }
     }
 
-    /// Stops what is left of gangs that have lost a member: the rest can't work without it, and the
+    /// Stops the rest of gangs that have lost a member: it can't work without that member, and a
     /// gang is only started as a whole.
     pub(crate) fn stop_broken_gangs(&mut self, now: u64) {
         let mut broken = Vec::new();
@@ -580,8 +586,8 @@
     }
 }
 
-/// Pause beyond the usual one after so many stops to a worker that doesn't answer, in milliseconds: one that is dead
-/// costs a connection each.
+/// Additional pause after this many stops to a worker that doesn't answer, in milliseconds: each
+/// stop to a dead worker costs a connection.
 fn stop_pause_ms(stops: u32) -> u64 {
     match stops {
         0 => 0,
--- a/src/scheduler/stragglers.rs
+++ b/src/scheduler/stragglers.rs
@@ -1,26 +1,28 @@
-//! Runs that stall or crawl are taken elsewhere: judged by the other tasks of their step, as declared run times tell little.
+//! Moves runs that stall or are far too slow to other workers. They are compared with the other
+//! tasks of their step, since declared run times are unreliable.
 
 use crate::jobs::model::TaskKey;
 use crate::scheduler::Scheduler;
 use crate::scheduler::job::{JobRun, LiveRun, RunPhase, StepRun};
 
-/// Time after which a run without progress is taken for stalled, in milliseconds, beside its
+/// Time without progress after which a run counts as stalled, in milliseconds, in addition to its
 /// declared run time: several reports without a change.
 const STALL_MS: u64 = 1_500;
-/// Times its siblings' run time that a run may be heading for before it is moved: tasks of a step
-/// differ by a third, slow workers take four times as long and more.
+/// A run is moved if its projected run time exceeds that of its siblings by this factor: tasks of a
+/// step differ by a third, slow workers take four times as long and more.
 const SLOW_FACTOR: u64 = 3;
-/// Siblings that a run is compared with at least.
+/// Fewest siblings that a run is compared with.
 const SIBLINGS_MIN: usize = 2;
-/// Progress from which a run's pace tells its run time, in percent.
+/// Progress from which a run's pace allows a projection, in percent.
 const PROJECTION_PERCENT_MIN: u32 = 20;
-/// Times that a task is moved for being slow or stalled: beyond, it is the task and not its worker.
+/// Times that a task is moved for being slow or stalled: after that, the task is the cause and not
+/// its worker.
 const MOVES_MAX: u32 = 2;
-/// Time that a moved run loses at least, in milliseconds.
+/// Least time that a move costs a run, in milliseconds.
 const MOVE_COST_MS: u64 = 400;
 
 impl Scheduler {
-    /// Looks for runs that stall or crawl, and takes them elsewhere.
+    /// Finds runs that stall or are far too slow, and stops them so that they start elsewhere.
     pub(crate) fn move_stragglers(&mut self, now: u64) {
         let mut stragglers = Vec::new();
         for worker in self.workers.values() {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Why a run should be taken elsewhere, if it should.
+    /// Why a run should be moved, if it should.
     fn straggler_reason(&self, key: &TaskKey, run: u32, now: u64) -> Option<&'static str> {
         let job = self.jobs.get(&key.job)?;
         let spec = job.spec(key)?;
@@ -57,7 +59,7 @@
         if moves >= MOVES_MAX {
             return None;
         }
-        // What took long on several workers is long itself.
+        // A task that took long on several workers is itself long.
         let timeout = (STALL_MS + spec.estimate_ms) << moves;
         if now.saturating_sub(live.progress_ms) > timeout {
             return Some("no progress");
@@ -65,8 +67,9 @@
         self.is_far_slower(job, key, live, now).then_some("far slower than its siblings")
     }
 
-    /// Whether a run is heading for far longer than the other tasks of its step take: they do work
-    /// of the same kind, while declared run times tell little. One without siblings is left alone.
+    /// Whether a run's projected run time is far longer than that of the other tasks of its step:
+    /// they do the same kind of work, while declared run times are unreliable. A run without
+    /// siblings is left alone.
     fn is_far_slower(&self, job: &JobRun, key: &TaskKey, live: &LiveRun, now: u64) -> bool {
         let Some(step) = job.step(key) else { return false };
         let Some(median) = median_runtime_ms(step, Some(key.index)) else { return false };
@@ -79,14 +82,14 @@
     }
 }
 
-/// Run time that a run is heading for at its present pace, in milliseconds.
+/// Run time of a run projected from its present pace, in milliseconds.
 pub(crate) fn projected_runtime_ms(live: &LiveRun) -> u64 {
     let elapsed = live.progress_ms.saturating_sub(live.begun_ms);
     elapsed * 100 / u64::from(live.percent.clamp(1, 100))
 }
 
-/// Median run time of the tasks of a step, done or well under way, without the one at `index`; nothing
-/// for too few.
+/// Median run time of a step's tasks that are done or well under way, except the one at `index`;
+/// `None` if there are too few.
 pub(crate) fn median_runtime_ms(step: &StepRun, index: Option<u32>) -> Option<u64> {
     let mut times: Vec<u64> = Vec::new();
     for (position, task) in step.tasks.iter().enumerate() {
--- a/src/scheduler/tombstones.rs
+++ b/src/scheduler/tombstones.rs
@@ -1,8 +1,8 @@
-//! Cancellations of jobs that their entries did not know.
+//! Cancellations of jobs that were unknown to the entry that received them.
 //!
-//! Whose job it will be is not known either, so each counts by who cancelled. They are kept as long as the last state
-//! of a job that is over, and longer where the job came after all: a reader of the log that finds the job must find
-//! its cancellation as well.
+//! The owner of such a job is not known either, so each cancellation applies to the caller that
+//! sent it. They are kept as long as the last state of a finished job, and longer if the job
+//! arrived after all: a reader of the log that finds the job must find its cancellation as well.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 use crate::jobs::model::JobId;
 use crate::scheduler::{RecordSource, Scheduler, SchedulerEvent};
 
-/// Time for which a job's last state is kept beyond what is promised, in milliseconds: the caller's wait begins when
-/// it learns of the end.
+/// Time for which a job's last state is kept beyond the promised time, in milliseconds: the
+/// caller's time begins when it learns that the job has finished.
 const STATUS_MARGIN_MS: u64 = 30_000;
 
-/// Such cancellations, and when each was last heard of, in milliseconds.
+/// Such cancellations, and when each was last seen, in milliseconds.
 #[derive(Debug, Default)]
 pub(crate) struct TombstoneTable {
     cancellations: BTreeMap<(JobId, OrganisationDigest), u64>,
 }
 
 impl TombstoneTable {
-    /// Takes one in.
+    /// Adds a cancellation, or notes that it was seen again.
     pub fn insert(&mut self, job: JobId, digest: OrganisationDigest, now: u64) {
         self.cancellations.insert((job, digest), now);
     }
@@ -35,7 +35,7 @@
         cancellations.any(|((_, digest), _)| digest.may_see(organisation))
     }
 
-    /// Takes out those that nothing needs any more.
+    /// Removes and returns the cancellations that are no longer needed.
     fn remove_where(
         &mut self,
         is_old: impl Fn(JobId, u64) -> bool,
@@ -47,7 +47,7 @@
 }
 
 impl Scheduler {
-    /// A caller has cancelled a job that its entry did not know.
+    /// Handles a cancellation of a job that was unknown to the caller's entry.
     pub(super) fn cancel_by(
         &mut self,
         id: JobId,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells that a cancellation is taken in, before anything is done about it.
+    /// Logs that a cancellation was received, before it takes effect.
     pub(super) fn log_cancellation(&mut self, id: JobId, source: RecordSource, now: u64) {
         let found = match self.jobs.get(&id) {
             Some(job) if !job.state.is_final() => "open",
@@ -77,8 +77,8 @@
         self.emit(SchedulerEvent::Cancelled { job: id, source, found, view_ms });
     }
 
-    /// Drops jobs from the log whose last state need not be told any more: a repeat of their submission that came
-    /// after that would run.
+    /// Drops jobs from the log once their last state no longer has to be reported: a repeat of
+    /// their submission after that would run.
     pub(crate) fn drop_finished_jobs(&mut self, now: u64) {
         let status_ms = self.bounds.status_ms;
         let is_old = |known_ms: u64| known_ms + status_ms + STATUS_MARGIN_MS < now;
@@ -92,7 +92,8 @@
         self.drop_tombstones(is_old);
     }
 
-    /// Takes off the log what was cancelled long ago and never came, or is over and dropped.
+    /// Drops cancellations from the log that are old and whose job never came, or has finished and
+    /// was dropped.
     fn drop_tombstones(&mut self, is_old: impl Fn(u64) -> bool) {
         let is_known = |job: &JobId| self.jobs.contains_key(job) || self.finished.contains_key(job);
         for (job, digest) in
