--- a/tests/busy_pool.rs
+++ b/tests/busy_pool.rs
@@ -1,8 +1,10 @@
-//! Pools in which tasks start all the time, so that nearly every worker that is lost has a start aboard.
+//! Pools in which tasks start all the time, so that something is starting on nearly every worker
+//! that is lost.
 //!
-//! Checked: a task without fault that is on several of the lost workers is served, and one that crashes its workers
-//! costs no more of them than the bound, whatever else starts or is lost there. `IBISWEIR_TEST_SEED` and
-//! `IBISWEIR_TEST_RUNS` draw other and more runs; with `--nocapture` each scene tells how long jobs took.
+//! Checked: a task without fault that was on several of the lost workers is served, and a task that
+//! crashes its workers costs no more of them than the limit, whatever else starts or is lost there.
+//! `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` select other and more runs; with `--nocapture`
+//! each scenario prints how long jobs took.
 
 mod support;
 
@@ -16,30 +18,30 @@
 use rand::{Rng, SeedableRng};
 use support::sim::{SchedulerSim, config, job, job_id, step, task, worker};
 
-/// Runs of each scene in CI; by hand two hundred.
+/// Runs of each scenario in CI; two hundred when run by hand.
 const RUNS: u64 = 10;
 /// Workers that a task may cost: after three crashes it may be started twice more.
 const LOSSES_MAX: usize = 5;
-/// Time between two looks at what is through, in milliseconds.
+/// Time between two checks for finished runs, in milliseconds.
 const STEP_MS: u64 = 20;
-/// Time that a short task works, in milliseconds.
+/// Run time of a short task, in milliseconds.
 const SHORT_MS: u64 = 60;
-/// Time for everything to end once nothing more is lost, in milliseconds.
+/// Time for all jobs to end after the last loss, in milliseconds.
 const SETTLE_MS: u64 = 120_000;
-/// Time from one job of short tasks to the next, in milliseconds.
+/// Time between two jobs of short tasks, in milliseconds.
 const ARRIVALS_MS: u64 = 700;
 
-/// What happens in a pool; times in milliseconds.
+/// Load and failures of a pool; times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct BusyScenario {
     vms: usize,
-    /// Work of the tasks that are watched, in one run.
+    /// Run time of the tracked tasks, in one run.
     work_ms: u64,
-    /// Tasks without fault that are watched.
+    /// Tracked tasks without fault.
     tracked: u64,
     /// Time for which workers are lost.
     loss_period_ms: u64,
-    /// Time between two losses; 0 if nothing is lost but by tasks that crash their workers.
+    /// Time between two losses; 0 if only tasks that crash their workers cause any.
     loss_interval_ms: u64,
     /// Time from the start of the short tasks to the loss.
     loss_delay_ms: u64,
@@ -53,7 +55,7 @@
     crash_after_ms: u64,
 }
 
-/// One worker of four is lost each 0.7 s, in the moment in which tasks start on all of them.
+/// One worker of four is lost every 0.7 s, at the moment when tasks start on all of them.
 const STARTS_DURING_LOSSES: BusyScenario = BusyScenario {
     vms: 4,
     work_ms: 6_000,
@@ -76,7 +78,7 @@
     ..STARTS_DURING_LOSSES
 };
 
-/// What the runs of a scene have shown.
+/// Results of a scenario's runs.
 #[derive(Debug, Default)]
 struct Tally {
     /// Jobs without fault.
@@ -87,7 +89,7 @@
     open: usize,
     /// Ages at which the jobs without fault ended, in milliseconds.
     ages_ms: Vec<u64>,
-    /// The same of those that were watched.
+    /// The same for the tracked ones.
     tracked_ages_ms: Vec<u64>,
     /// Ages at which bad jobs were given up, in milliseconds.
     bad_ages_ms: Vec<u64>,
@@ -120,12 +122,11 @@
     }
 }
 
-/// A pool in a scene.
 struct BusyPool {
     sim: SchedulerSim,
     random: StdRng,
     scenario: BusyScenario,
-    /// Work of each job's tasks; nothing for those that crash their workers.
+    /// Run time of each job's tasks; `None` for those that crash their workers.
     work_ms: BTreeMap<JobId, Option<u64>>,
     tracked: BTreeSet<JobId>,
     submitted_ms: BTreeMap<JobId, u64>,
@@ -183,7 +184,7 @@
         self.sim.crash(&id);
     }
 
-    /// Lets time pass, and ends what is through.
+    /// Advances the time and completes the runs that are through.
     fn advance(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
             self.sim.advance(STEP_MS);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Runs of a task that ended with their workers, by whatever cause.
+    /// Runs of a task that ended with their workers, for any reason.
     fn workers_lost(&self, key: TaskKey) -> usize {
         let lost = self.sim.events.iter().filter_map(|note| match note {
             SchedulerEvent::Lost { task, run, .. } if *task == key => Some(*run),
@@ -238,7 +239,8 @@
         for _ in 0..scenario.bad {
             self.submit(step(1), None);
         }
-        // With nothing else lost, the arrivals go on until what crashes its workers is long convicted.
+        // Without other losses, jobs keep arriving until the tasks that crash workers have long
+        // been identified.
         let length_ms =
             if scenario.loss_interval_ms > 0 { scenario.loss_period_ms } else { SETTLE_MS / 2 };
         let begun = self.sim.now;
@@ -296,7 +298,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Plays a scene and checks both bounds.
+/// Runs the scenarios and checks both limits.
 fn check(scenarios: &[BusyScenario]) {
     let first = env_number("IBISWEIR_TEST_SEED", 1);
     let mut failures = Vec::new();
@@ -318,7 +320,8 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards against a pool that is taken for calm as each worker that it loses has a start aboard.
+/// Guards against a pool that counts as stable because something is starting on each worker that it
+/// loses.
 #[test]
 fn a_busy_pool_that_loses_workers_does_not_look_stable() {
     check(&[
@@ -331,7 +334,7 @@
     ]);
 }
 
-/// Guards against the same where nothing starts as workers are lost.
+/// Guards against the same where nothing is starting when workers are lost.
 #[test]
 fn a_pool_that_loses_workers_after_the_starts_does_not_look_stable() {
     check(&[
@@ -342,8 +345,8 @@
     ]);
 }
 
-/// Guards against tasks that crash their workers, early or late, alone or many at a time, for as long as others start
-/// there; and against their neighbours that are given up for it.
+/// Guards against tasks that crash their workers, early or late, alone or many at a time, for as
+/// long as others start there; and against neighbours that are given up for it.
 #[test]
 fn tasks_that_crash_their_workers_are_limited_in_busy_pools() {
     let mut scenarios = Vec::new();
--- a/tests/loss_model.rs
+++ b/tests/loss_model.rs
@@ -1,9 +1,9 @@
-//! Pools in which tasks crash their workers while workers also die of other things: single crashes, racks
-//! that lose power, VMs that go down and up by turns, leaders that change, a log that is away.
+//! Pools in which tasks crash their workers while workers also die for other reasons: single
+//! crashes, racks that lose power, flapping VMs, changes of leaders, an unavailable log.
 //!
-//! Checked: no task costs more workers than the bound, and no job without such a task is ever given up.
-//! `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` draw other and more runs; with `--nocapture` each size tells
-//! what a task cost until it was given up.
+//! Checked: no task costs more workers than the limit, and no job without such a task is ever given
+//! up. `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` select other and more runs; with `--nocapture`
+//! each size prints how many workers a task cost until it was given up.
 
 mod support;
 
@@ -17,34 +17,34 @@
 use rand::{Rng, SeedableRng};
 use support::sim::{SchedulerSim, config, job, job_id, step, task, worker};
 
-/// Runs of each size in CI; by hand a hundred.
+/// Runs of each size in CI; a hundred when run by hand.
 const RUNS: u64 = 4;
-/// Steps of a run, of a tenth of a second.
+/// Steps of a run, a tenth of a second each.
 const STEPS: u32 = 400;
 const STEP_MS: u64 = 100;
-/// Time for everything to end once nothing new comes, in steps.
+/// Steps for all jobs to end after the last arrival.
 const SETTLE_STEPS: u32 = 600;
 /// Workers that a task may cost: after three crashes it may be started twice more.
 const LOSSES_MAX: usize = 5;
-/// VMs of the pools; four a rack.
+/// VMs of the pools; four per rack.
 const SIZES: [usize; 3] = [4, 12, 40];
 
-/// What happens in a pool, each in so many of 400 steps; times in milliseconds.
+/// Load and failures of a pool: events occur in this many of 400 steps; times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct PoolLoad {
-    /// Of so many jobs one crashes its workers.
+    /// One job in this many crashes its workers.
     jobs_per_bad_one: u32,
     crashes: u32,
     rack_failures: u32,
     takeovers: u32,
     log_toggles: u32,
-    /// Time between two losses of the VM that goes down and up by turns.
+    /// Time between two losses of the flapping VM.
     flap_ms: u64,
-    /// Shortest and longest time from the start of a bad task to its worker's crash.
+    /// Shortest and longest time from the start of a bad task to the crash of its worker.
     crash_after_ms: (u64, u64),
 }
 
-/// What the pools bear in the tests of the bound.
+/// Load of the pools in the tests of the limit.
 const USUAL_LOAD: PoolLoad = PoolLoad {
     jobs_per_bad_one: 60,
     crashes: 4,
@@ -55,7 +55,7 @@
     crash_after_ms: (10, 10),
 };
 
-/// What one size has shown.
+/// Results of one pool size.
 #[derive(Debug, Default)]
 struct Tally {
     bad: usize,
@@ -131,7 +131,7 @@
             }
             _ => {}
         }
-        // One VM goes down and up by turns.
+        // One VM flaps.
         if self.size > 4 && self.sim.now.is_multiple_of(load.flap_ms) {
             self.crash_named("w0");
         }
@@ -149,7 +149,7 @@
             self.bad.insert(key);
         }
         let length = self.random.random_range(3..20);
-        // A task is at work until it crashes its worker.
+        // A late crasher stays at work until it crashes its worker.
         let is_late = self.bad.contains(&key) && self.load.crash_after_ms.1 > 10;
         self.lengths.insert(key, if is_late { 100 } else { length });
         self.begun.insert(key, self.sim.now);
@@ -189,7 +189,7 @@
         self.sim.take_over(self.term, one_pool());
     }
 
-    /// Lets a tenth of a second pass, and what is through end.
+    /// Advances the time by a tenth of a second and completes the runs that are through.
     fn advance(&mut self) {
         let (least_ms, most_ms) = self.load.crash_after_ms;
         if least_ms < most_ms {
@@ -226,7 +226,8 @@
         }
     }
 
-    /// Jobs that were given up without a task that crashes workers; tells what became of their tasks.
+    /// Jobs that were given up although none of their tasks crashes workers; prints the log of
+    /// their tasks.
     fn wrongly_given_up(&self) -> Vec<JobId> {
         let is_wrongly_given_up = |(id, state): &(&JobId, &JobState)| {
             **state == JobState::Failed && !self.bad.contains(*id)
@@ -240,7 +241,7 @@
         wrongly_given_up
     }
 
-    /// Runs of a task that ended with their workers, by whatever cause.
+    /// Runs of a task that ended with their workers, for any reason.
     fn workers_lost(&self, key: TaskKey) -> usize {
         if self.load.crash_after_ms == USUAL_LOAD.crash_after_ms {
             return self.sim.starts(key);
@@ -300,14 +301,15 @@
     );
 }
 
-/// Guards against jobs without fault that are given up as each leader forgets whom a loss was counted against.
+/// Guards against jobs without fault that are given up because each leader forgets which tasks a
+/// loss was counted against.
 #[test]
 fn no_other_job_is_given_up_where_leaders_change_often() {
     let load = PoolLoad { jobs_per_bad_one: 10, takeovers: 30, ..USUAL_LOAD };
     check(load, env_number("IBISWEIR_TEST_SEED", 810_003), harsh_sizes());
 }
 
-/// Four times the usual trouble of other kinds.
+/// Four times the usual failures of other kinds.
 const HARSH_LOAD: PoolLoad = PoolLoad {
     crashes: 16,
     rack_failures: 8,
@@ -317,14 +319,16 @@
     ..USUAL_LOAD
 };
 
-/// Guards against jobs without fault that are given up where workers are lost for other reasons all the time.
+/// Guards against jobs without fault that are given up where workers are lost for other reasons all
+/// the time.
 #[test]
 fn no_other_job_is_given_up_where_workers_are_lost_all_the_time() {
     check(HARSH_LOAD, env_number("IBISWEIR_TEST_SEED", 810_004), harsh_sizes());
 }
 
-/// Guards against tasks that crash their workers some time after their start, which a count that excuses losses among
-/// other failures never bounds, and against neighbours that are given up for it.
+/// Guards against tasks that crash their workers some time after their start, which a count that
+/// excuses losses among other failures would never bound, and against neighbours that are given up
+/// for it.
 #[test]
 fn tasks_that_crash_their_workers_late_are_bounded_among_other_failures() {
     for load in [USUAL_LOAD, HARSH_LOAD] {
@@ -335,7 +339,8 @@
     }
 }
 
-/// Guards against a job without fault that is given up as several of its losses came just as it started.
+/// Guards against a job without fault that is given up because several of its losses came just as
+/// it started.
 #[test]
 fn a_task_that_loses_workers_at_its_starts_by_chance_is_served() {
     let mut pool = Pool::open_with_load(HARSH_LOAD, 4, 810_013);
@@ -344,12 +349,12 @@
     assert!(wrongly_given_up.is_empty(), "jobs without fault were given up: {wrongly_given_up:?}");
 }
 
-/// In CI the small pools, of which each loses the most.
+/// In CI only the small pools, which lose the largest share of their workers.
 fn harsh_sizes() -> &'static [usize] {
     if std::env::var_os("IBISWEIR_TEST_RUNS").is_some() { &SIZES } else { &SIZES[..2] }
 }
 
-/// In CI the smallest pool, where every loss tells of the most tasks.
+/// In CI only the smallest pool, where every loss affects the largest share of the tasks.
 fn late_sizes() -> &'static [usize] {
     if std::env::var_os("IBISWEIR_TEST_RUNS").is_some() { &SIZES } else { &SIZES[..1] }
 }
@@ -370,9 +375,9 @@
     assert!(wrongly_given_up.is_empty(), "jobs without fault were given up: {wrongly_given_up:?}");
 }
 
-/// Pools that lose a worker every one to three seconds for other reasons. In each of these seeds one innocent task
-/// loses five workers, long after its starts, and its caller's job is given up by the bound that holds for every
-/// reason ("it has lost too many workers").
+/// Pools that lose a worker every one to three seconds for other reasons. With each of these seeds
+/// one task without fault loses five workers, long after its starts, and its job was given up at
+/// the limit for all causes ("it has lost too many workers").
 #[test]
 fn a_task_that_loses_five_workers_without_fault_is_served() {
     let mut wrongly_given_up = Vec::new();
--- a/tests/relisted_workers.rs
+++ b/tests/relisted_workers.rs
@@ -1,12 +1,13 @@
-//! Workers whose entries go and come back while leases of theirs still last.
+//! Workers whose entries disappear and come back while some of their leases still last.
 
 mod support;
 
 use ibisweir::jobs::model::ExitKind;
 use support::sim::{SchedulerSim, config, job, step, task, worker};
 
-/// Guards against a second run beside the first, as the bound on a worker's leases went with its entry: its entry comes
-/// back, a start with a shorter lease is sent to it, and it can't be reached from then on.
+/// Guards against a second run beside the first because the bound on a worker's leases was dropped
+/// with its entry: the entry comes back, a start with a shorter lease is sent to the worker, and it
+/// can't be reached from then on.
 #[test]
 fn leases_of_a_worker_that_is_listed_again_are_waited_out() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -22,7 +23,7 @@
     sim.advance(100);
     sim.scheduler.worker_unlisted(&place, sim.now);
     sim.report(worker(&place, if &*place == "w1" { "r1" } else { "r2" }));
-    // Its next renewal waits for an answer of the log.
+    // Its next renewal waits for the log.
     sim.are_renewals_muted = true;
     sim.scheduler.worker_unlisted(&other.into(), sim.now);
     let key = task(sim.submit(2, job(vec![step(1)])), 0, 0);
--- a/tests/restart_model.rs
+++ b/tests/restart_model.rs
@@ -1,8 +1,9 @@
-//! Workers that begin anew at any time: starts under way, silence, takeovers, entries and VM lists in drawn orders.
+//! Workers that restart at any time: starts in flight, silence, takeovers, entries and VM lists in
+//! random orders.
 //!
-//! Checked: no task runs twice at once. A start that the life before would have refused counts as refused by the next
-//! one too, though that has seen no token before its first call. `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` draw other
-//! and more histories.
+//! Checked: no task runs twice at once. A start that the previous incarnation would have refused
+//! counts as refused by the next one too, although that one has seen no token before its first
+//! call. `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` select other and more histories.
 
 mod support;
 
@@ -22,7 +23,7 @@
 const WORKERS: usize = 3;
 const JOBS: usize = 6;
 
-/// What may happen next.
+/// Events to draw from.
 const KINDS: [WorkerEvent; 12] = [
     WorkerEvent::Submit,
     WorkerEvent::Submit,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Plays one event and a pause; a task that runs twice then, if there is one.
+    /// Plays one event and a pause; returns a task that then runs twice, if there is one.
     fn step(&mut self) -> Option<TaskKey> {
         let id = self.draw_worker();
         let event = KINDS[self.random.random_range(0..KINDS.len())];
@@ -129,7 +130,8 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// Guards against tasks that run twice as a life of a worker is taken for over, or for another, by what is told of it.
+/// Guards against tasks that run twice because reports make an incarnation of a worker look ended,
+/// or look like another one.
 #[test]
 fn no_task_runs_twice_in_any_order_of_events() {
     let first = env_number("IBISWEIR_TEST_SEED", 1);
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -1,4 +1,5 @@
-//! Workers that are lost under tasks: what is counted, who is suspected, and when a task is given up.
+//! Workers that are lost under tasks: which losses count, which tasks become suspects, and when a
+//! task is given up.
 
 mod support;
 
@@ -13,18 +14,18 @@
     SchedulerSim, config, job, job_id, service_step, step, submission, task, worker,
 };
 
-/// Workers that a task may cost until it is given up: one that it shares with others, two that name it.
+/// Workers that a task may cost until it is given up: one that it shares with others, and two that
+/// identify it.
 const WORKERS_LOST_MAX: usize = 3;
-/// The same where nothing names it: after three crashes it may be started twice more.
+/// The same where nothing identifies it: after three crashes it may be started twice more.
 const LOSSES_MAX: usize = 5;
 
-/// A stage of four workers.
 fn four_workers() -> SchedulerSim {
     let pool = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 2))).collect();
     SchedulerSim::open(config(), pool)
 }
 
-/// Lets time pass and ends what has been at work for a second.
+/// Advances the time and completes runs that have been at work for a second.
 fn run_tasks(sim: &mut SchedulerSim, ms: u64) {
     for _ in 0..ms / 100 {
         sim.advance(100);
@@ -51,8 +52,8 @@
     lost.collect()
 }
 
-/// A worker crashes 700 ms after one task and 100 ms after another was started there. Operators who
-/// look for what crashes workers read from the log how long each had been at work.
+/// A worker crashes 700 ms after the start of one task and 100 ms after that of another. Operators
+/// who look for tasks that crash workers need the time at work of each in the log.
 #[test]
 fn a_lost_run_is_logged_with_its_time_at_work() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -67,11 +68,12 @@
     assert!(told(newer) <= 100, "{}", told(newer));
 }
 
-/// Callers of a busy pool lose most of their jobs, for as long as the day lasts: one task crashes each worker
-/// that starts it, with all that runs there. A run that ends with its worker counts as no failed attempt, so
-/// the task is ready again at once and goes to the next full worker; nothing remembers how many it has cost.
-/// In 1.2 s the leader's log showed 11 workers of one pool gone with 152 runs, ten of them under four tasks
-/// whose run numbers rose by one each time ("run":10 to 14, 8 to 10, 12 to 15, 7 to 8).
+/// Guards against a task that crashes one worker after another with everything else that runs
+/// there, so that callers of a busy pool lose most of their jobs. A run that ends with its worker
+/// is not a failed attempt, so the task was ready again at once and went to the next full worker,
+/// without any count. In 1.2 s the leader's log showed 11 workers of one pool lost with 152 runs,
+/// ten of them under four tasks whose run numbers rose by one each time ("run":10 to 14, 8 to 10,
+/// 12 to 15, 7 to 8).
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up_and_the_others_are_served() {
     let mut sim = four_workers();
@@ -86,7 +88,7 @@
     assert!(are_completed(&sim, &faultless) && are_completed(&sim, &later));
 }
 
-/// What the log tells of the workers lost under a task.
+/// Workers lost under a task, as the log shows them.
 fn logged_losses(sim: &SchedulerSim, key: TaskKey) -> LossCount {
     let progress = sim.book.get(key.job).and_then(|job| job.progress.clone());
     let setbacks = progress.map(|progress| progress.restarts.clone()).unwrap_or_default();
@@ -94,15 +96,15 @@
     told.map(|told| told.losses).unwrap_or_default()
 }
 
-/// A job whose first task crashes its workers, handed in to a stage that it may take down.
+/// Submits a job whose first task crashes its workers.
 fn submit_bad(sim: &mut SchedulerSim, id: u64, spec: JobSpec) -> JobId {
     sim.crashing_tasks.insert(task(job_id(id), 0, 0));
     sim.submit(id, spec)
 }
 
-/// The leader dies after each loss that it has learned of, so that no leader ever sees a second one. The count
-/// is in the record that took the run off the books, and the next leader goes on from there. One that has not
-/// seen the start can't tell that the task was just starting, so only the bound holds.
+/// The leader dies after each loss that it learns of, so no leader sees a second one. The count is
+/// in the record that removed the run, and the next leader continues it. A leader that has not seen
+/// the start can't tell that the task was just starting, so only the limit for all causes holds.
 #[test]
 fn no_loss_is_forgotten_when_the_leader_changes_after_each() {
     let mut sim = four_workers();
@@ -120,8 +122,9 @@
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
-/// Two leaders take over within a second while the third start of a task that crashes its workers may be on
-/// its way. Neither has seen the start; the run is on the log, and its worker's end counts for both.
+/// Two leaders take over within a second while the third start of a task that crashes its workers
+/// may be in flight. Neither has seen the start, but the run is on the log, and the loss of its
+/// worker counts for both.
 #[test]
 fn two_leaders_within_a_second_cost_no_more_workers_than_the_limit() {
     let mut sim = four_workers();
@@ -136,8 +139,9 @@
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
-/// The news of one lost worker comes by a start that another life refuses, by a renewal, by the VM list and
-/// by the end of its entry, and some of it twice. Callers' jobs that were there are charged with one loss.
+/// The loss of one worker is reported by a start that another incarnation refuses, by a renewal, by
+/// the VM list and by the removal of its entry, some of it twice. The jobs that ran there are
+/// charged with one loss.
 #[test]
 fn a_loss_that_is_reported_in_several_ways_counts_once() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -157,9 +161,9 @@
     assert_eq!(logged_losses(&sim, key), LossCount { total: 1, at_start: 1 });
 }
 
-/// A worker is cut off for so long that its leases run out; the tasks start elsewhere, and what is known then
-/// may well be a crash. It answers again in the same life: it was not lost, and the callers' jobs must not be
-/// nearer to being given up.
+/// A worker is cut off until its leases run out, and its tasks start elsewhere; until then this
+/// looks like a crash. It answers again in the same incarnation, so it was not lost, and its jobs
+/// must not be closer to being given up.
 #[test]
 fn a_worker_that_answers_again_was_not_lost() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -176,8 +180,8 @@
     assert_eq!(logged_losses(&sim, key), LossCount::default());
 }
 
-/// The VM list is away and the log shows no end of an entry, so that crashes are learned of only when leases
-/// have run out, seconds late. The bound holds all the same.
+/// The VM list is unavailable and the log shows no removal of an entry, so crashes are noticed only
+/// when leases have run out, seconds late. The limit still holds.
 #[test]
 fn losses_that_are_noticed_late_count_too() {
     let mut sim = four_workers();
@@ -188,8 +192,8 @@
     assert!(sim.starts(task(bad, 0, 0)) <= LOSSES_MAX, "{}", sim.starts(task(bad, 0, 0)));
 }
 
-/// The start's answer never comes: the worker is gone before it. The next start is sent only when that
-/// worker's end is known, and both are counted.
+/// The start is never answered: the worker is lost before. The next start is sent only once the
+/// loss of that worker is known, and both count.
 #[test]
 fn the_loss_of_an_unanswered_start_counts() {
     let mut sim = four_workers();
@@ -200,9 +204,9 @@
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
-/// A task crashes its workers 700 ms after its start, when it has long been told of as at work. Nothing names
-/// it at its start, and what runs beside it is lost as often: it is given up for the number of workers, and
-/// nobody else is, as it is alone on probation before the last of them.
+/// A task crashes its workers 700 ms after its start, long after it was reported as at work. No
+/// start identifies it, and tasks beside it are lost as often. It is given up at the limit for all
+/// causes, and no other task is, as it is alone on probation before the last losses.
 #[test]
 fn a_task_that_crashes_its_workers_later_is_limited_too() {
     let mut sim = four_workers();
@@ -215,8 +219,8 @@
     assert!(are_completed(&sim, &others));
 }
 
-/// Tasks that last may fail as often as they like, but not take one worker after the other: the same bound
-/// holds, for those that take what others leave too.
+/// Services may fail any number of times but must not take one worker after another: the same limit
+/// holds for them, and for best-effort services too.
 #[test]
 fn services_and_best_effort_services_have_the_same_limit() {
     for is_best_effort in [false, true] {
@@ -229,8 +233,8 @@
     }
 }
 
-/// One member of a gang takes its worker with it, and with that the whole gang, each time. The gang is given
-/// up as soon as a task would be.
+/// One member of a gang crashes its worker and with that ends the whole gang, each time. The gang
+/// is given up as soon as a single task would be.
 #[test]
 fn a_gang_with_such_a_member_has_the_same_limit() {
     let mut sim = four_workers();
@@ -253,8 +257,8 @@
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
-/// The caller of a job that was given up tries again under the same key, at another entry. It gets the answer
-/// that stands: failed. Nothing starts again, also under the next leader.
+/// The caller of a job that was given up retries with the same key at another entry. The answer
+/// stays the same: failed. Nothing starts again, under the next leader either.
 #[test]
 fn a_retry_of_a_job_that_was_given_up_starts_nothing() {
     let mut sim = four_workers();
@@ -272,8 +276,8 @@
     assert_eq!(sim.starts(task(bad, 0, 0)), starts);
 }
 
-/// A rack loses power again and again, with all that runs there. Nothing that ran there is to blame: every
-/// caller's job is served, however often its tasks were just starting.
+/// A rack loses power repeatedly, with all that runs there. No task caused that: every job is
+/// served, however often its tasks were just starting.
 #[test]
 fn rack_failures_identify_no_task() {
     let mut sim = four_workers();
@@ -292,8 +296,8 @@
     assert!(are_completed(&sim, &ids));
 }
 
-/// Suspects wait for a worker of their own, and half of the pool is kept for the rest: a caller whose job has
-/// nothing to do with it gets its start at once.
+/// Suspects wait for a worker of their own, and half of the pool stays available to other tasks: an
+/// unrelated job starts at once.
 #[test]
 fn a_suspect_on_probation_leaves_workers_to_the_rest_of_the_pool() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -305,10 +309,11 @@
     assert!(are_completed(&sim, &many) && are_completed(&sim, &[rest]));
 }
 
-/// Two workers crash; a second later two more, one of them just as it starts, on probation, a task that the
-/// first ones took along. The caller's job has nothing to do with either: given up for it, it would be lost. The
-/// news of the other worker comes a quarter of a second after that of its own ("does not answer" at 12.37 s and
-/// 12.59 s in the log of such a case, "given up" at 12.52 s).
+/// Guards against a job that is given up because unrelated failures follow each other. Two workers
+/// crash; a second later two more do, one of them just as it starts, on probation, a task that was
+/// on the first ones. The loss of the other worker becomes known a quarter of a second after that
+/// of its own ("does not answer" at 12.37 s and 12.59 s in the log of such a case, "given up" at
+/// 12.52 s).
 #[test]
 fn unrelated_failures_in_a_row_give_up_no_job() {
     for second_ms in [0, 260] {
@@ -334,9 +339,9 @@
     }
 }
 
-/// Several workers die at once, two of them idle, which nobody notices. A task that was on the first is tried on
-/// the second and then on the third: neither answers, so its start is never sent. They were lost under nothing,
-/// and the caller's job is served by the fourth.
+/// Several workers die at once, two of them idle and so unnoticed. A task from the first is tried
+/// on the second and then on the third: neither answers, so its start is never sent. Those losses
+/// don't count against the task, and its job is served by the fourth.
 #[test]
 fn workers_that_die_before_the_start_is_sent_do_not_count() {
     let mut sim = four_workers();
@@ -358,7 +363,7 @@
     assert!(are_completed(&sim, &[id]));
 }
 
-/// The queue's policy allows the step on two workers of four only. The bound is the same.
+/// The queue's policy allows the step on only two of four workers. The limit is the same.
 #[test]
 fn a_task_with_permits_has_the_same_limit() {
     let mut config = config();
@@ -378,8 +383,8 @@
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
-/// The next start waits in its lane, or in another entry's hands, when the last loss is learned of and the job is
-/// given up. It must not go out any more.
+/// The next start waits in its lane, or at another entry, when the last loss becomes known and the
+/// job is given up. It must not be sent any more.
 #[test]
 fn a_waiting_start_is_not_sent_once_its_job_is_given_up() {
     let mut sim = four_workers();
@@ -395,8 +400,8 @@
     assert_eq!((sim.starts(task(bad, 0, 0)), sim.starts(other)), starts);
 }
 
-/// No executor could take a start, and the worker that it was for is lost before it is sent another way. It was
-/// lost under nothing.
+/// No executor could take a start, and its worker is lost before the start is sent another way. The
+/// loss doesn't count against the task.
 #[test]
 fn a_start_that_was_never_sent_does_not_count() {
     let mut sim = four_workers();
@@ -414,7 +419,7 @@
     assert!(are_completed(&sim, &[id]));
 }
 
-/// Lets time pass until a task is started anew.
+/// Advances the time until a task is started again.
 fn advance_until_restarted(sim: &mut SchedulerSim, key: TaskKey, starts: usize) {
     for _ in 0..200 {
         if sim.starts(key) > starts {
@@ -424,8 +429,8 @@
     }
 }
 
-/// A task has lost two workers at its start. The third goes together with another one of the pool, which was at
-/// work: the failure is larger than the task, and its caller's job must be served.
+/// A task has lost two workers at its start. The third is lost together with another one of the
+/// pool that was at work: the failure is larger than the task, and the job must be served.
 #[test]
 fn a_third_loss_beside_that_of_another_worker_identifies_no_task() {
     let pool = (1..=6).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
@@ -445,8 +450,8 @@
     assert!(are_completed(&sim, &[id, rest]));
 }
 
-/// The only VM of a pool goes down and up by turns, three times just as a task starts. The VM is no witness: the
-/// caller's job must be served.
+/// The only VM of a pool flaps, three times just as a task starts. Its losses are no evidence, and
+/// the job must be served.
 #[test]
 fn a_flapping_vm_identifies_no_task() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -460,8 +465,8 @@
     assert!(are_completed(&sim, &[id]));
 }
 
-/// A suspect has just begun on a worker. Another caller's task is not put beside it, though that worker is the
-/// fuller one: if it goes, only the suspect goes with it.
+/// A suspect has just started on a worker. Another task is not placed beside it, although that
+/// worker is the fuller one: if the worker is lost, only the suspect is lost with it.
 #[test]
 fn nothing_starts_beside_a_suspect_on_probation() {
     let mut sim = four_workers();
@@ -472,12 +477,12 @@
     assert_ne!(sim.place(other), sim.place(suspect));
 }
 
-/// The VM of a worker: what its lives have in common.
+/// The VM of a worker, which all its incarnations share.
 fn vm_of(place: &str) -> &str {
     place.split('-').next().unwrap_or(place)
 }
 
-/// Guards against a task that goes back to a VM that goes down and up by turns, until it is given up for it.
+/// Guards against a task that returns to a flapping VM until it is given up for the losses there.
 #[test]
 fn a_task_that_has_lost_workers_avoids_their_vms() {
     let mut sim = four_workers();
@@ -495,7 +500,8 @@
     assert_eq!(vms.len(), 3, "{vms:?}");
 }
 
-/// Guards against a start by the next leader of a task whose last loss its predecessor was still weighing.
+/// Guards against a start by the next leader of a task whose last loss the previous leader had not
+/// decided on yet.
 #[test]
 fn a_task_that_has_lost_too_many_workers_is_given_up_by_the_next_leader() {
     let mut sim = four_workers();
@@ -513,8 +519,8 @@
     assert_eq!((sim.starts(key), sim.state(id)), (LOSSES_MAX, Some(JobState::Failed)));
 }
 
-/// A task that has lost three workers, each a while after its start; the last one together with a worker that
-/// ran nothing of its job.
+/// A task that has lost three workers, each a while after its start; the last one together with a
+/// worker that ran nothing of its job.
 fn on_trial(sim: &mut SchedulerSim) -> TaskKey {
     let rest = StepSpec { per_worker_max: 1, ..step(4) };
     sim.submit(2, job(vec![rest]));
@@ -531,7 +537,8 @@
     key
 }
 
-/// Guards against a start that would decide on a task while its pool loses workers of other causes.
+/// Guards against a start that would decide about a task while its pool loses workers for other
+/// reasons.
 #[test]
 fn a_task_on_trial_waits_until_its_pool_is_stable() {
     let mut sim = four_workers();
@@ -542,7 +549,7 @@
     assert_eq!(sim.starts(key), 4);
 }
 
-/// Guards against a successor that takes any pool for calm, as it has seen no loss in it.
+/// Guards against a successor that takes any pool for stable because it has seen no loss in it.
 #[test]
 fn a_task_on_trial_waits_under_the_next_leader_too() {
     let mut sim = four_workers();
@@ -555,7 +562,8 @@
     assert_eq!(sim.starts(key), 4);
 }
 
-/// A task that has lost three workers, the last one together with another on which something was just starting.
+/// A task that has lost three workers, the last one together with another on which something was
+/// just starting.
 fn on_trial_beside_starts(sim: &mut SchedulerSim, are_restarts_instant: bool) -> TaskKey {
     let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
     for _ in 0..2 {
@@ -574,7 +582,8 @@
     key
 }
 
-/// Guards against a loss that stays explained by a start, as its task is done sooner than it can be seen at work.
+/// Guards against a loss that stays explained by a start whose task was done before it could be
+/// seen at work.
 #[test]
 fn a_task_that_is_done_at_once_explains_no_loss() {
     let mut sim = four_workers();
@@ -583,7 +592,8 @@
     assert_eq!(sim.starts(key), 3, "it waits");
 }
 
-/// Guards against a start in a pool whose losses are explained by starts that are about to be outlived.
+/// Guards against a start in a pool whose losses are explained by starts that are about to be
+/// survived.
 #[test]
 fn a_task_on_trial_waits_until_tasks_have_survived_their_starts() {
     let mut sim = four_workers();
@@ -594,7 +604,8 @@
     assert_eq!(sim.starts(key), 4);
 }
 
-/// Guards against a successor that takes a pool for calm, as its losses were explained when they were written down.
+/// Guards against a successor that takes a pool for stable because its losses were still explained
+/// when they were logged.
 #[test]
 fn a_loss_that_is_no_longer_explained_is_logged_for_the_next_leader() {
     let mut sim = four_workers();
@@ -607,7 +618,8 @@
     assert_eq!(sim.starts(key), 4);
 }
 
-/// Guards against a task on trial that waits for tasks which crash their workers as they start.
+/// Guards against a task on trial that waits because of other tasks that crash their workers as
+/// they start.
 #[test]
 fn a_task_on_trial_does_not_wait_for_losses_that_a_start_explains() {
     let mut sim = four_workers();
@@ -624,7 +636,8 @@
     assert_eq!(sim.alive(key), 1);
 }
 
-/// Guards against a pool that is taken for calm as a task was on each worker that it lost, by chance.
+/// Guards against a pool that counts as stable because a task happened to be on each worker that it
+/// lost.
 #[test]
 fn a_pool_is_observed_without_a_task_on_trial() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -643,7 +656,7 @@
     assert_eq!(sim.starts(key), 4);
 }
 
-/// Guards against a job that never ends, as its pool loses workers for as long as it waits.
+/// Guards against a job that never ends because its pool goes on losing workers.
 #[test]
 fn a_task_on_trial_does_not_wait_for_ever() {
     let mut sim = four_workers();
@@ -657,7 +670,8 @@
     assert!(sim.starts(key) > 3);
 }
 
-/// Guards against a wide job that takes any pool for calm, as one of its tasks was on every VM that went.
+/// Guards against a wide job that takes any pool for stable because one of its tasks was on every
+/// lost VM.
 #[test]
 fn a_task_of_a_wide_job_waits_on_trial_too() {
     let mut sim = four_workers();
@@ -673,7 +687,8 @@
     assert_eq!(starts, vec![3; 4]);
 }
 
-/// Guards against a start that is counted as lost once for each life of its worker that it is carried over to.
+/// Guards against a start that counts as lost once for each incarnation of its worker that it is
+/// carried over to.
 #[test]
 fn a_start_that_is_carried_over_counts_one_loss() {
     let mut sim = SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")]);
@@ -690,7 +705,8 @@
     assert_eq!(logged_losses(&sim, task(id, 0, 0)).total, 1);
 }
 
-/// Guards against a neighbour that is given up for a loss of which another task is convicted in the same moment.
+/// Guards against a neighbour that is given up for a loss at the moment when another task is
+/// identified as its cause.
 #[test]
 fn an_identified_cause_clears_its_neighbours_first() {
     let pool = (1..=3).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
@@ -709,8 +725,8 @@
     assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
-/// Guards against a suspect that is blamed for an idle worker which had died before: its start must wait until the worker
-/// has answered.
+/// Guards against a suspect that is charged with an idle worker that had died before: its start
+/// must wait until the worker has answered.
 #[test]
 fn a_suspect_is_not_sent_to_a_worker_that_has_not_answered_since() {
     let mut sim = four_workers();
@@ -736,8 +752,8 @@
     assert!(are_completed(&sim, &[id]));
 }
 
-/// Guards against a suspect whose worker's loss tells nothing, as another task was just starting beside it: neither could
-/// be named, and both would be suspected.
+/// Guards against a suspect that starts beside another task that is just starting: the worker's
+/// loss could identify neither, and both would become suspects.
 #[test]
 fn a_suspect_waits_until_other_starts_on_its_worker_are_at_work() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -746,7 +762,7 @@
     let spread = StepSpec { per_worker_max: 1, ..step(2) };
     let beside = sim.submit(2, job(vec![spread]));
     assert_eq!(sim.alive(task(beside, 0, 0)) + sim.alive(task(beside, 0, 1)), 2);
-    // The next life says nothing yet.
+    // The next incarnation does not answer yet.
     sim.are_renewals_muted = true;
     sim.crash(&place);
     assert_eq!(sim.starts(suspect), 1, "it waits");
@@ -755,7 +771,8 @@
     assert_eq!(sim.starts(suspect), 2);
 }
 
-/// Guards against a service that crashes each of its workers some time after its start, for as long as it lasts.
+/// Guards against a service that crashes each of its workers some time after its start, for as long
+/// as it runs.
 #[test]
 fn a_service_that_crashes_its_workers_late_is_bounded() {
     let mut sim = four_workers();
--- a/tests/scheduler_restarts.rs
+++ b/tests/scheduler_restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that begin anew under the name that they had.
+//! Workers that restart under the same name.
 
 mod support;
 
@@ -24,9 +24,10 @@
     RenewCall { fence: 1, acked_exits: 0, lease_until_ms: None, wait: Default::default() }
 }
 
-/// A worker crashes and is back under its name before anybody noticed: nothing shows it but the time of its birth.
-/// Its tasks are lost with the life before, start once more and are done. Taken for the same worker, it would
-/// number its exits from one again, below those already taken in, and the jobs would never end.
+/// A worker crashes and is back under its name before anybody notices; only the time when its
+/// incarnation began shows it. Its tasks are lost with the previous incarnation, start once more
+/// and are done. If it counted as the same worker, its exits, numbered from one again, would fall
+/// below those already seen, and the jobs would never end.
 #[test]
 fn the_exits_of_the_next_incarnation_count_from_its_first() {
     let mut sim = one_worker();
@@ -46,10 +47,11 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// A worker has had exits acknowledged, and begins anew before anybody noticed. The next life takes a start and is done
-/// with it at once; its exits have the low numbers again. The renewal that is meant for the life before must not
-/// acknowledge them: the worker would forget them, nobody would know of them, and the tasks would run once more.
-/// Seen as "ended: not on the worker" of three tasks that were done, each started again.
+/// A worker has had exits acknowledged and restarts unnoticed. The next incarnation takes a start
+/// and is done with it at once; its exits have the low numbers again. The renewal meant for the
+/// previous incarnation must not acknowledge them: the worker would discard them unseen, and the
+/// tasks would run once more. This occurred as "ended: not on the worker" for three tasks that were
+/// done, each of which was started again.
 #[test]
 fn an_acknowledgement_for_the_previous_incarnation_reaches_no_exit_of_the_next() {
     let mut sim = one_worker();
@@ -72,7 +74,7 @@
     assert_eq!(starts, vec![1, 1, 1]);
 }
 
-/// The worker's entry tells of the next life before any call shows it.
+/// The worker's entry shows the next incarnation before any call does.
 #[test]
 fn a_restart_is_noticed_from_the_workers_entry_too() {
     let mut sim = one_worker();
@@ -85,9 +87,10 @@
     assert_eq!(sim.place(task(id, 0, 1)), next);
 }
 
-/// A start has no answer, and its worker begins anew. The start comes to the next life, which takes it, as it was
-/// meant for that name. Meanwhile the task must not run elsewhere; once the next life has answered under a higher
-/// token, late starts are refused there and the task goes on.
+/// A start is not answered, and its worker restarts. The next incarnation receives the start and
+/// takes it, as it is addressed by that name. Until then the task must not run elsewhere; once the
+/// next incarnation has answered under a higher token, late starts are refused there and the task
+/// goes on.
 #[test]
 fn a_start_in_doubt_may_reach_the_next_incarnation() {
     let mut sim = two_workers();
@@ -109,8 +112,9 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// The same, and the start comes late: after the next life has shown that it has nothing. Its token was raised with
-/// the first call, so that the start of before is refused, and the second run is the only one.
+/// The same, but the start arrives after the next incarnation has reported that it runs nothing.
+/// Its token was raised with the first call, so it refuses the earlier start, and the second run is
+/// the only one.
 #[test]
 fn a_start_that_arrives_after_the_next_incarnation_answered_is_refused_there() {
     let mut sim = one_worker();
@@ -124,15 +128,16 @@
     assert_eq!((sim.starts(key), sim.alive(key)), (1, 1), "the late start was taken");
 }
 
-/// A start was answered by the next life, in the moment between its birth and the first word of it: the answer to
-/// a start does not tell who gave it. It runs there, and must be found there, not started once more.
+/// A start is answered by the next incarnation between its beginning and its first report: the
+/// answer to a start does not show which incarnation gave it. The run is there and must be found
+/// there, not started once more.
 #[test]
 fn a_start_that_the_next_incarnation_answered_is_not_lost_with_the_previous_one() {
     let mut sim = one_worker();
     let busy = sim.submit(1, job(vec![step(8)]));
     sim.advance(100);
     let next = sim.restart_worker(FIRST);
-    // No renewal comes through until the start has been answered.
+    // No renewal is answered until the start has been answered.
     sim.workers.get_mut(&next).expect("known").is_stale = true;
     for index in 0..8 {
         let exit = TaskExit {
@@ -162,8 +167,9 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// An answer of the life before comes after the next one was seen, with an end that was listed but never taken in.
-/// It tells nothing of the next life, whose ends have the same numbers.
+/// A late answer of the previous incarnation arrives after the next one was seen, with an exit that
+/// was listed but never handled. It says nothing about the next incarnation, whose exits have the
+/// same numbers.
 #[test]
 fn a_late_report_of_the_previous_incarnation_is_ignored() {
     let mut sim = one_worker();
@@ -191,9 +197,10 @@
     assert_eq!((sim.starts(task(id, 0, 0)), sim.starts(task(id, 0, 1))), (2, 2));
 }
 
-/// A worker begins anew, and an answer shows it before the entry of the life before is dropped and the next one is
-/// written. The leader goes on calling it with the token that the next life has seen; called with a lower one, the
-/// worker would refuse it, and the leader would take that for another leader's work and step down.
+/// A worker restarts, and an answer shows it before the entry of the previous incarnation is
+/// dropped and the next one is written. The leader goes on calling it with the token that the next
+/// incarnation has seen: the worker would refuse a lower one, and the leader would take that for
+/// another leader's work and step down.
 #[test]
 fn an_incarnation_keeps_its_token_when_it_is_dropped_from_the_list_and_listed_again() {
     let mut sim = one_worker();
@@ -211,9 +218,10 @@
     assert_eq!((sim.starts(task(id, 0, 0)), sim.alive(task(id, 0, 0))), (1, 1));
 }
 
-/// A worker loses its runs and its entry, comes back as another life, and a start that was sent to the life before
-/// arrives so late that its run was given up long ago. The next life's clock began anew, so the lease in that start
-/// says nothing there: only the token keeps the task from running twice.
+/// A worker loses its runs and its entry and comes back as another incarnation; a start that was
+/// sent to the previous one arrives long after its run was abandoned. The clock of the next
+/// incarnation started afresh, so the lease in that start means nothing there: only the token keeps
+/// the task from running twice.
 #[test]
 fn an_abandoned_start_is_refused_by_the_next_incarnation() {
     let mut sim = two_workers();
@@ -237,7 +245,7 @@
     sim.scheduler.worker_seen(entry, sim.now);
     sim.run_until_idle();
     sim.advance(500);
-    // Its clock began anew, and shows times that the late start's lease covers.
+    // Its clock started afresh and shows times within the lease of the late start.
     for call in &mut sim.workers.get_mut(&next).expect("known").late {
         call.lease_until_ms += 20_000;
     }
@@ -256,8 +264,9 @@
     }
 }
 
-/// A new leader sees a worker for the first time in its second life; the log tells of a run on the first. The run is
-/// over, and that is known from the first answer: its task starts at once, not after the longest lease.
+/// A new leader first sees a worker in its second incarnation; the log shows a run on the first.
+/// The first answer shows that the run has ended: its task starts at once, not after the longest
+/// lease.
 #[test]
 fn a_new_leader_first_sees_a_worker_in_its_next_incarnation() {
     let mut sim = one_worker();
@@ -270,7 +279,8 @@
     assert_eq!(sim.place(key), next);
 }
 
-/// The same with a start of the old leader in doubt, which the next life has taken: it is found there.
+/// The same with a start of the old leader in doubt that the next incarnation has taken: the run is
+/// found there.
 #[test]
 fn a_new_leader_finds_a_run_that_the_next_incarnation_took() {
     let mut sim = one_worker();
@@ -284,8 +294,8 @@
     assert_eq!((sim.starts(key), sim.alive(key)), (1, 1));
 }
 
-/// Guards against a second run of a task that the next life took, where a new leader reads the VM list before that life's
-/// first answer.
+/// Guards against a second run of a task that the next incarnation took, where a new leader reads
+/// the VM list before that incarnation's first answer.
 #[test]
 fn the_vm_list_does_not_end_a_run_that_the_next_incarnation_may_have() {
     let mut sim = two_workers();
@@ -315,8 +325,9 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// Guards against a second run of a task whose worker a new leader knows from the log and the VM list alone, as its
-/// entry is gone: it may run on behind a cut until its leases have run out.
+/// Guards against a second run of a task whose worker a new leader knows only from the log and the
+/// VM list, since its entry is gone: the worker may still run behind a network cut until its leases
+/// have run out.
 #[test]
 fn a_worker_known_only_from_the_log_and_its_vm_keeps_its_runs() {
     let mut sim = two_workers();
@@ -332,8 +343,8 @@
     assert_eq!((sim.starts(key), sim.alive(key)), (2, 1));
 }
 
-/// Guards against a second run by a late start that a new leader's token kept out of one life, and that comes to the next
-/// life before its first call.
+/// Guards against a second run by a late start that the token of a new leader kept out of one
+/// incarnation, and that reaches the next one before its first call.
 #[test]
 fn a_start_that_one_incarnation_would_refuse_does_not_run_in_the_next() {
     let mut sim = two_workers();
@@ -357,7 +368,8 @@
     assert_eq!(sim.alive(key), 1, "it runs twice");
 }
 
-/// What was sent to the life before is refused by the next one's higher token. That tells of no other leader.
+/// The next incarnation's higher token refuses calls that were sent to the previous one. That does
+/// not imply another leader.
 #[test]
 fn a_refused_call_to_the_previous_incarnation_deposes_no_leader() {
     let mut sim = one_worker();
@@ -372,8 +384,9 @@
     assert!(!sim.scheduler.is_deposed());
 }
 
-/// A worker crashes behind a cut and starts again there. While it can't be reached its tasks wait as if it ran them;
-/// when the cut heals its first answer shows the next life, and they start again.
+/// A worker crashes and restarts behind a network cut. While it can't be reached, its tasks wait as
+/// if it ran them; when the cut heals, its first answer shows the next incarnation, and they start
+/// again.
 #[test]
 fn a_worker_that_restarted_behind_a_cut_loses_and_repeats_no_task() {
     let mut sim = two_workers();
@@ -391,8 +404,9 @@
     assert_eq!((sim.starts(key), sim.alive(key)), (2, 1));
 }
 
-/// A task crashes each worker that starts it, and each is back under its name at once. The losses count by lives:
-/// the job is given up after as many as where each life has a name of its own.
+/// A task crashes each worker that starts it, and each is back under its name at once. The losses
+/// count by incarnation: the job is given up after as many as if each incarnation had a name of its
+/// own.
 #[test]
 fn losses_count_by_incarnation() {
     let entries = (0..4).map(|n| worker(&format!("w{n}"), &format!("r{n}"))).collect();
@@ -416,7 +430,7 @@
     assert!(sim.starts(key) <= 5, "{} workers", sim.starts(key));
 }
 
-/// Service tasks are back at work after each of many rebirths, one run each.
+/// Service tasks are at work again after each of many restarts, one run each.
 #[test]
 fn services_come_back_after_each_restart() {
     let mut sim = two_workers();
@@ -424,7 +438,7 @@
     for round in 0..6 {
         let keys: Vec<Arc<str>> = sim.workers.keys().cloned().collect();
         sim.restart_worker(&keys[round % 2]);
-        // Long at work, so that the losses tell of nothing.
+        // Long enough at work that the losses are exempt.
         for _ in 0..6 {
             for worker in sim.workers.values_mut() {
                 worker.running.values_mut().for_each(|percent| *percent = 100);
@@ -436,8 +450,9 @@
     }
 }
 
-/// A worker begins anew again and again, until its leader has no higher token left in its term. The leader steps
-/// down before it calls a life with a token of the next term, which could belong to another leader.
+/// A worker restarts again and again until the leader's term has no higher token left. The leader
+/// steps down before it calls an incarnation with a token of the next term, which could belong to
+/// another leader.
 #[test]
 fn a_leader_steps_down_before_its_tokens_are_used_up() {
     let mut sim = one_worker();
--- a/tests/scheduler_runs.rs
+++ b/tests/scheduler_runs.rs
@@ -10,9 +10,9 @@
 use ibisweir::scheduler::SchedulerAction;
 use support::sim::{SchedulerSim, config, job, step, submission, task, worker};
 
-/// A caller's first answer was lost, or its request was repeated by the network: seconds after the
+/// The first answer to a caller was lost, or the network repeated its request: seconds after the
 /// job is completed the same submission reaches another entry, which has not read of it yet, and is
-/// put on the log again. The caller sees one job that stays completed, and no task runs again.
+/// logged again. The job stays completed, and no task runs again.
 #[test]
 fn a_submission_that_is_repeated_after_the_job_is_over_starts_nothing() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -30,9 +30,9 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// A start has no answer, is carried out all the same, and the task is done before the start is sent
-/// again. The worker refuses the repeat as an old run. That refusal is the trace of a run that took
-/// place, not of one that never will: the caller's task must not run a second time.
+/// A start is not answered but is carried out, and the task is done before the start is sent again.
+/// The worker refuses the repeat as an old run. That refusal shows that the run took place, not
+/// that it never will: the task must not run a second time.
 #[test]
 fn a_repeated_start_that_is_refused_as_old_leaves_the_end_to_the_report() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -53,9 +53,8 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// One task of a step simply is larger than the others and takes four times as long, on any worker.
-/// Moved again and again as slow it would never end, and the caller would wait for ever. It is
-/// given another worker at most twice.
+/// One task of a step is larger than the others and takes four times as long on any worker. If it
+/// were moved as slow again and again, it would never end. It is moved at most twice.
 #[test]
 fn a_task_that_is_slow_everywhere_is_left_to_end() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -72,8 +71,8 @@
     assert_eq!(sim.alive(large), 1);
 }
 
-/// A worker is slow to answer, so a start waits behind other commands to it. Meanwhile the caller
-/// cancels the job, and is told so. The start that is sent last must not be sent at all.
+/// A start waits behind other commands to a slow worker. Meanwhile the job is cancelled, and the
+/// caller knows it. The start must not be sent.
 #[test]
 fn a_start_that_waited_behind_other_commands_is_not_sent_once_its_job_is_over() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -89,7 +88,7 @@
     assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
 
-/// The same repeat, for a job that the caller has cancelled: it stays cancelled.
+/// The same repeat for a cancelled job: it stays cancelled.
 #[test]
 fn a_submission_that_is_repeated_after_a_cancel_starts_nothing() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -104,9 +103,9 @@
     assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
 
-/// A start has no answer, and its repeat is refused for want of room. The first may still be carried
-/// out, when there is room again: before the task goes to another worker, the first is made to refuse
-/// that run for good. The caller's task must not run in two places.
+/// A start is not answered, and its repeat is refused for lack of capacity. The first may still be
+/// carried out once there is capacity, so the worker must refuse that run for good before the task
+/// goes to another worker. The task must not run in two places.
 #[test]
 fn a_start_in_doubt_is_ruled_out_before_the_task_goes_elsewhere() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -129,8 +128,8 @@
     assert_eq!(sim.alive(key), 1);
 }
 
-/// A worker's answers are lost, and what is sent to it arrives. Renewals that prolonged its leases
-/// would do so for ever, and its tasks could never be started elsewhere.
+/// A worker's answers are lost while calls to it arrive. If renewals went on extending its leases,
+/// its tasks could never be started elsewhere.
 #[test]
 fn leases_of_a_worker_that_does_not_answer_are_not_prolonged() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -143,8 +142,8 @@
     assert_eq!(sim.leases.len(), prolonged);
 }
 
-/// A successor has raised its token on a worker or a VM. The old leader learns it by the first refusal
-/// and must command nothing any more: what it believes is out of date from then on.
+/// A successor has raised its token on a worker or a VM. The old leader learns of it by the first
+/// refusal and must send no more commands: its state is out of date from then on.
 #[test]
 fn a_refused_token_ends_the_leadership() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -164,8 +163,8 @@
     assert!(sim.scheduler.is_deposed());
 }
 
-/// The same task under leaders that change: each that began the count anew would move it twice more, and throw
-/// its work away each time. The count is on the log with the run.
+/// The same task under changing leaders: if each began the count anew, each would move the task
+/// twice more and discard its work. The count is logged with the run.
 #[test]
 fn moves_of_a_slow_task_are_counted_over_changes_of_leaders() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
--- a/tests/scheduler_silence.rs
+++ b/tests/scheduler_silence.rs
@@ -1,4 +1,5 @@
-//! Workers that can't be reached until their leases have run out, and what they list afterwards.
+//! Workers that can't be reached until their leases have run out, and the exits that they list
+//! afterwards.
 
 mod support;
 
@@ -11,11 +12,11 @@
     POOL, STANDBY, SchedulerSim, config, job, service_step, step, task, vm, worker,
 };
 
-/// Longer than every lease that a worker can have.
+/// Longer than any lease that a worker can have.
 const LEASES_MS: u64 = 6_400;
 
-/// A task on a worker that falls silent and ends it with `kind`; its leases run out, and the task starts
-/// again on another worker, if `has_other`.
+/// A task on a worker that falls silent and ends it with `kind`. Its leases run out, and the task
+/// starts again on another worker, if `has_other`.
 fn abandoned_run(kind: ExitKind, has_other: bool) -> (SchedulerSim, JobId) {
     let pool = match has_other {
         true => vec![worker("w0", "r0"), worker("w1", "r1")],
@@ -39,14 +40,15 @@
     sim.advance(1_000);
 }
 
-/// Whether the worker was told that it may forget all its exits.
+/// Whether the worker has had all its exits acknowledged.
 fn are_exits_acknowledged(sim: &SchedulerSim) -> bool {
     sim.workers["w0"].exits.is_empty()
 }
 
-/// A worker can't be reached and its task is done there, which nobody hears. The leases run out, and the
-/// task starts on another worker. Then the first answers again and lists the end. The caller's task has run
-/// once as long as that end never counts: it is not acknowledged, and the second run completes the job.
+/// A worker can't be reached, and its task completes there unseen. The leases run out, and the task
+/// starts on another worker. Then the first worker answers again and lists the exit. The task has
+/// run once as long as that exit never counts: it is not acknowledged, and the second run completes
+/// the job.
 #[test]
 fn an_exit_that_is_listed_too_late_is_never_acknowledged() {
     let (mut sim, id) = abandoned_run(ExitKind::Done, true);
@@ -60,8 +62,8 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
-/// The same with a run that failed: acknowledged, it would count as one attempt more than the task may
-/// have had when it was started again.
+/// The same with a run that failed: if acknowledged, it would count as one more attempt than was
+/// allowed for when the task was started again.
 #[test]
 fn a_failure_that_is_listed_too_late_is_never_acknowledged() {
     let (mut sim, id) = abandoned_run(ExitKind::Failed, true);
@@ -70,7 +72,8 @@
     assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
-/// The same, but the worker answers when the job is over and out of memory: the end still may not count.
+/// The same, but the worker answers when the job has finished and left memory: the exit still must
+/// not count.
 #[test]
 fn an_exit_is_not_acknowledged_after_its_job_has_finished_either() {
     let (mut sim, id) = abandoned_run(ExitKind::Done, true);
@@ -81,7 +84,8 @@
     assert!(!are_exits_acknowledged(&sim));
 }
 
-/// The same, but another leader has taken over meanwhile: the log shows it that a later run was started.
+/// The same, but another leader has taken over meanwhile: the log shows it that a later run was
+/// started.
 #[test]
 fn a_successor_does_not_acknowledge_it_either() {
     let (mut sim, id) = abandoned_run(ExitKind::Done, true);
@@ -91,8 +95,8 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
-/// The task was not started again, for want of a worker. Then the end counts: the job is completed, and the
-/// task does not run a second time.
+/// The task was not started again because there was no worker for it. Then the exit counts: the job
+/// is completed, and the task does not run a second time.
 #[test]
 fn an_exit_counts_if_its_task_was_not_started_again() {
     let (mut sim, id) = abandoned_run(ExitKind::Done, false);
@@ -102,8 +106,8 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
-/// A worker whose ends can't be acknowledged lists them all again in each report, and its list is bounded.
-/// It takes no new work, and its VM is moved to begin another life.
+/// A worker whose exits can't be acknowledged lists all of them again in each report, and its list
+/// is bounded. It gets no new work, and its VM is moved to begin another incarnation.
 #[test]
 fn a_worker_with_withheld_exits_begins_another_incarnation() {
     let (mut sim, _) = abandoned_run(ExitKind::Done, true);
@@ -118,8 +122,8 @@
     assert!(sim.vm_commands.contains(&moved), "{:?}", sim.vm_commands);
 }
 
-/// The same where its VM can't be moved now, as the VM list is old. It still takes no new work, though it has room:
-/// what would end there could never be acknowledged.
+/// The same where its VM can't be moved now because the VM list is old. It still gets no new work,
+/// although it has free capacity: exits there could never be acknowledged.
 #[test]
 fn a_worker_with_withheld_exits_takes_no_new_work() {
     let (mut sim, _) = abandoned_run(ExitKind::Done, true);
@@ -130,7 +134,7 @@
     assert!(sim.workers["w0"].running.is_empty());
 }
 
-/// A renewal that has reached its worker; the answer is on its way.
+/// A renewal that has reached its worker, with the answer in flight.
 struct SlowRenewal {
     call: RenewCall,
     report: WorkerReport,
@@ -139,8 +143,8 @@
     answered_ms: u64,
 }
 
-/// Renews the leases of `w0`, whose answers take so long, as a lane does: one call at a time, while the answers of those
-/// that were given up are read on.
+/// Renews the leases of `w0` as a lane does, with answers that take `delay_ms`: one call at a time,
+/// while late answers to calls that timed out are still read.
 fn renew_slowly(sim: &mut SchedulerSim, delay_ms: u64, ms: u64) {
     let id: Arc<str> = "w0".into();
     let (mut open, mut late): (Option<SlowRenewal>, Vec<SlowRenewal>) = (None, Vec::new());
@@ -212,7 +216,8 @@
     }
 }
 
-/// Guards against leases that run out under workers that take every renewal, as each answer comes after its time.
+/// Guards against leases that run out although the worker receives every renewal, because each
+/// answer comes late.
 #[test]
 fn leases_last_where_every_answer_comes_late() {
     let mut starts = Vec::new();
@@ -228,7 +233,7 @@
     assert!(starts.iter().all(|(_, starts)| *starts == 1), "delay in ms, starts: {starts:?}");
 }
 
-/// Guards against leases without end under a worker that has gone silent after answers that came late.
+/// Guards against leases without end on a worker that has gone silent after late answers.
 #[test]
 fn leases_run_out_once_late_answers_stop() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
--- a/tests/scheduler_stops.rs
+++ b/tests/scheduler_stops.rs
@@ -1,4 +1,4 @@
-//! Stops of runs that nobody wants any more, where they are lost or their worker is.
+//! Stops of runs that are no longer wanted, where the stops or their worker are lost.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use ibisweir::jobs::record::JobRecord;
 use support::sim::{SchedulerSim, SimWorker, config, job, service_step, step, task, worker};
 
-/// A job with so many tasks on one worker.
+/// A job with this many tasks on one worker.
 fn running_job(tasks: u32) -> (SchedulerSim, JobId) {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let id = sim.submit(1, job(vec![step(tasks)]));
@@ -27,7 +27,8 @@
     sim.workers.get_mut("w0").expect("known")
 }
 
-/// Guards against a cancelled service that runs on for ever on a worker that is not listed and answers.
+/// Guards against a cancelled service that runs on for ever on a worker that is not listed but
+/// answers.
 #[test]
 fn stops_go_to_a_worker_that_is_not_listed_and_answers() {
     let (mut sim, id) = service_job();
@@ -38,7 +39,7 @@
     assert_eq!(sim.alive(task(id, 0, 0)), 0);
 }
 
-/// Guards against a cancelled service that is kept alive by renewals where every stop is lost.
+/// Guards against a cancelled service that renewals keep alive where every stop is lost.
 #[test]
 fn leases_run_out_where_every_stop_is_lost() {
     let (mut sim, id) = service_job();
@@ -48,7 +49,8 @@
     assert_eq!(sim.alive(task(id, 0, 0)), 0);
 }
 
-/// Guards against leases that run out under a wanted run, as a stop of another is lost beside it.
+/// Guards against leases that run out under a wanted run because the stop of another run on the
+/// worker is lost.
 #[test]
 fn leases_are_renewed_beside_a_run_that_is_to_be_stopped() {
     let (mut sim, id) = service_job();
@@ -62,7 +64,7 @@
     assert_eq!(sim.alive(task(id, 0, 0)), 0);
 }
 
-/// Guards against a dead worker that gets stop upon stop, each on a connection of its own.
+/// Guards against a dead worker that gets stop after stop, each on a connection of its own.
 #[test]
 fn a_worker_that_does_not_answer_gets_few_stops() {
     let (mut sim, id) = running_job(8);
@@ -73,7 +75,7 @@
     assert!((8..=32).contains(&sim.stops.len()), "{} stops", sim.stops.len());
 }
 
-/// Guards against a stop that waits out its pause though its worker answers again.
+/// Guards against a stop that waits for the end of its pause although its worker answers again.
 #[test]
 fn a_stop_goes_out_as_soon_as_its_worker_answers_again() {
     let (mut sim, id) = running_job(1);
--- a/tests/second_runs.rs
+++ b/tests/second_runs.rs
@@ -12,7 +12,8 @@
 use ibisweir::scheduler::runs::RunCommand;
 use support::sim::{SchedulerSim, config, job, step, task, worker};
 
-/// Submits a task whose first try of a start is with an executor that has not answered; the worker that it is for.
+/// Submits a task whose first start attempt is with an executor that has not answered; returns the
+/// task and its worker.
 fn start_in_flight(sim: &mut SchedulerSim) -> (TaskKey, Arc<str>) {
     sim.is_lane_held = true;
     let key = task(sim.submit(1, job(vec![step(1)])), 0, 0);
@@ -28,7 +29,8 @@
     (key, place)
 }
 
-/// Guards against a start that is carried out after its repeat was refused and its task was started elsewhere.
+/// Guards against a start that is carried out after its repeat was refused and its task was started
+/// elsewhere.
 #[test]
 fn a_refused_repeat_does_not_settle_the_earlier_attempt() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -44,7 +46,7 @@
     assert_eq!(sim.alive(key), 1);
 }
 
-/// Guards against a second run that nothing tells of: it is stopped, and its task may be served.
+/// Guards against a second run that is not reported: it is stopped, and its task may be served.
 #[test]
 fn a_second_run_that_a_worker_lists_is_reported_once() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -63,7 +65,8 @@
     assert_eq!(sim.alive(key), 1);
 }
 
-/// Guards against a second run that is told of though the first has ended: the report that lists it was long on its way.
+/// Guards against a second run that is reported although the first has ended, because the report
+/// that lists it was delayed.
 #[test]
 fn a_late_report_shows_no_second_run() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -82,7 +85,8 @@
     assert!(!sim.events.iter().any(is_reported));
 }
 
-/// Guards against a start that reaches its worker's next life, as a repeat that was not sent hides the try before it.
+/// Guards against a start that reaches the next incarnation of its worker because a repeat that was
+/// not sent hides the earlier attempt.
 #[test]
 fn a_repeat_that_is_not_sent_does_not_hide_the_earlier_attempt() {
     let mut sim = SchedulerSim::open_with_incarnations(
@@ -102,7 +106,8 @@
     assert_eq!(sim.alive(key), 1);
 }
 
-/// Guards against the same where the worker is leaving: the try is carried out after its task was started elsewhere.
+/// Guards against the same where the worker is leaving: the attempt is carried out after its task
+/// was started elsewhere.
 #[test]
 fn a_repeat_that_is_not_sent_does_not_free_the_task_of_a_leaving_worker() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1"), worker("w2", "r2")]);
@@ -116,7 +121,8 @@
     assert_eq!(sim.alive(key), 1);
 }
 
-/// Guards against a run that was begun by one try, and is taken for never begun as a later try of its start is refused.
+/// Guards against a run that one attempt has begun but that counts as never begun because a later
+/// attempt is refused.
 #[test]
 fn a_refusal_that_comes_after_the_run_has_begun_does_not_free_its_task() {
     for refusal in
--- a/tests/start_outcomes.rs
+++ b/tests/start_outcomes.rs
@@ -1,4 +1,5 @@
-//! What a refused or unsent repeat of a start tells of the run, when another try of it was carried out or still may be.
+//! Consequences of a refused or unsent repeat of a start for the run, when another attempt was
+//! carried out or still may be.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use ibisweir::scheduler::{SchedulerAction, SchedulerEvent};
 use support::sim::{SchedulerSim, WALL_OFFSET_MS, config, job, step, task, worker};
 
-/// Two workers, and a task whose start has been handed out and has no outcome.
+/// Two workers, and a task whose start has been issued and has no outcome.
 struct AttemptScenario {
     sim: SchedulerSim,
     key: TaskKey,
@@ -33,13 +34,13 @@
         AttemptScenario { sim, key, place, call }
     }
 
-    /// The worker gets to the first try now, and begins the run unless it was told to refuse it.
+    /// Lets the worker receive the first attempt now; it begins the run unless it has to refuse it.
     fn deliver_attempt(&mut self) {
         self.sim.workers.get_mut(&self.place).expect("known").late.push(self.call.clone());
         self.sim.deliver_late(&self.place);
     }
 
-    /// The outcome of a try.
+    /// Reports the outcome of an attempt.
     fn report_outcome(&mut self, outcome: &CommandOutcome<u64>) {
         let now = self.sim.now;
         self.sim.scheduler.handle_start_outcome(&self.place, &self.key, 1, outcome, now);
@@ -53,13 +54,13 @@
         CommandOutcome::Refused(refusal, Some(self.clock_ms()))
     }
 
-    /// Its worker says that it is about to leave.
+    /// Lets the worker report that it is about to leave.
     fn drain(&mut self) {
         let entry = self.sim.entry(&self.place);
         self.sim.report(WorkerEntry { is_draining: true, drain_left_ms: 3_000, ..entry });
     }
 
-    /// Whether the run is handed out to be sent within this time, while nothing else happens.
+    /// Whether the run's start is sent within this time, while nothing else happens.
     fn is_sent_within(&mut self, ms: u64) -> bool {
         let until = self.sim.now + ms;
         while self.sim.now < until {
@@ -76,7 +77,7 @@
         false
     }
 
-    /// What waits in the lanes goes out, and so does what is decided next.
+    /// Sends the commands that wait in the lanes, and those that are decided next.
     fn advance(&mut self, ms: u64) {
         self.sim.is_lane_held = false;
         self.sim.empty_lanes();
@@ -84,7 +85,7 @@
     }
 }
 
-/// Hands out the next try of the first run.
+/// Issues the next attempt of the first run.
 fn issue_attempt(sim: &mut SchedulerSim, key: &TaskKey) -> StartCall {
     match sim.scheduler.command(key, 1, sim.now) {
         Some(RunCommand::Start(call)) => call,
@@ -100,8 +101,8 @@
     CommandRefusal::Malformed,
 ];
 
-/// Guards against a run at work that is taken off the books, as a repeat of its start was refused: its task would be
-/// started elsewhere beside it.
+/// Guards against a running run that is removed because a repeat of its start was refused: its task
+/// would be started elsewhere as well.
 #[test]
 fn a_refused_repeat_does_not_remove_a_confirmed_run() {
     for refusal in REFUSALS {
@@ -119,7 +120,7 @@
     }
 }
 
-/// Guards against the same where its worker has listed the run before any try had an outcome.
+/// Guards against the same where the worker has listed the run before any attempt had an outcome.
 #[test]
 fn a_refused_repeat_does_not_remove_a_listed_run() {
     for refusal in REFUSALS {
@@ -135,7 +136,8 @@
     }
 }
 
-/// Guards against a run that is being stopped and is taken for over, as a repeat of its start was refused.
+/// Guards against a run that is being stopped and counts as ended because a repeat of its start was
+/// refused.
 #[test]
 fn a_refused_repeat_ends_no_run_that_is_being_stopped() {
     for refusal in REFUSALS {
@@ -154,8 +156,8 @@
     }
 }
 
-/// Guards against a start that is taken back unsent while an earlier try of it is under way: it would be carried out
-/// after its task was started elsewhere.
+/// Guards against a start that is taken back as unsent while an earlier attempt is in flight: it
+/// would be carried out after its task was started elsewhere.
 #[test]
 fn a_repeat_that_is_not_sent_does_not_settle_the_earlier_attempt() {
     let mut scenario = AttemptScenario::open();
@@ -169,15 +171,15 @@
     assert_eq!(scenario.sim.alive(scenario.key), 1);
 }
 
-/// Guards against starts that are sent again while their executor's answer is on its way, and that take the time of a
-/// busy leader from the next ones.
+/// Guards against starts that are sent again while the answer of their executor is in flight, which
+/// takes the time of a busy leader from the next ones.
 #[test]
 fn a_start_is_not_sent_again_before_its_attempt_times_out() {
     let mut scenario = AttemptScenario::open();
     assert!(!scenario.is_sent_within(900));
 }
 
-/// Guards against a lost answer to a start that is waited for once its try has been given up.
+/// Guards against waiting for a lost answer to a start after its attempt has timed out.
 #[test]
 fn a_start_is_sent_again_once_its_attempt_has_timed_out() {
     let mut scenario = AttemptScenario::open();
@@ -186,7 +188,7 @@
     assert!(scenario.is_sent_within(150));
 }
 
-/// Guards against a task that waits for good, as the outcome of its start is never told.
+/// Guards against a task that waits for ever because the outcome of its start is never reported.
 #[test]
 fn a_start_without_an_outcome_is_sent_again() {
     let mut scenario = AttemptScenario::open();
--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -1,4 +1,4 @@
-//! Cancellations of jobs that their entry does not know.
+//! Cancellations of jobs that are unknown to their entry.
 
 mod support;
 
@@ -31,7 +31,7 @@
 };
 use tokio::time::sleep;
 
-/// Time that a caller has.
+/// Time limit of a caller.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time of a read or an append.
 const LOG_TIME: Duration = Duration::from_millis(5);
@@ -42,9 +42,9 @@
 #[derive(Clone, Default)]
 struct MemoryLog {
     records: Arc<Mutex<Vec<KeyedRecord>>>,
-    /// What becomes of appends; nothing for done.
+    /// Outcome of appends; `None` if they succeed.
     append_outcome: Option<AppendOutcome>,
-    /// Whether reads are never answered to their end.
+    /// Whether reads are never answered completely.
     is_unreadable: bool,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// An entry on this log that follows nothing by itself.
+/// An entry on this log that does not follow the log by itself.
 fn desk(log: &MemoryLog, config: SiteConfig) -> CallerService<MemoryLog> {
     let node = idle_node();
     node.set_config(config);
@@ -133,7 +133,7 @@
     node
 }
 
-/// Jobs that a leader which takes over from this entry's book would run.
+/// Jobs that a leader would run which takes over from this entry's state.
 fn runnable_jobs(node: &JobNode) -> usize {
     let start = SchedulerStart {
         term: 2,
@@ -151,8 +151,8 @@
 
 const UNKNOWN_JOB: CallerReply = CallerReply::Refused(ResultCode::UnknownJob, None);
 
-/// Guards against a job that runs to its end after its cancellation: it is stored by one entry a moment after another
-/// has answered that there is no such job.
+/// Guards against a job that runs to its end after its cancellation: one entry stores it a moment
+/// after another has answered that there is no such job.
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_stored_after_its_cancellation_does_not_run() {
     let log = MemoryLog::default();
@@ -170,7 +170,8 @@
     assert_eq!(runnable_jobs(&node), 0);
 }
 
-/// Guards against a cancellation that is acknowledged and kept nowhere, as the log takes no appends.
+/// Guards against a cancellation that is acknowledged but stored nowhere because the log accepts no
+/// appends.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_that_is_not_stored_is_not_acknowledged() {
     let anyone = CallerAccess::default();
@@ -182,7 +183,7 @@
     assert_eq!(reply, CallerReply::Unknown(ResultCode::JobOutcomeUnknown));
 }
 
-/// Guards against callers that can't cancel for as long as their entries are behind the log.
+/// Guards against callers that can't cancel while their entries lag behind the log.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_lags_behind_the_log_stores_cancellations() {
     let log = MemoryLog::default();
@@ -196,7 +197,8 @@
     assert_eq!(runnable_jobs(&new_entry), 0);
 }
 
-/// Guards against a job that another organisation cancels before it is stored, or a caller without any.
+/// Guards against a job that another organisation, or a caller without any, cancels before it is
+/// stored.
 #[tokio::test(start_paused = true)]
 async fn no_one_cancels_another_organisations_job_before_it_is_stored() {
     let log = MemoryLog::default();
@@ -210,13 +212,13 @@
         assert_eq!(desk.job_state(&east, id).await, CallerReply::State(JobState::Queued));
     }
     assert_eq!(runnable_jobs(&*new_entry(&log).await), 1);
-    // What is known and hidden leaves no record.
+    // A known job that is hidden from the caller leaves no record.
     let stored = log.records().len();
     assert_eq!(cancel(&second, &west, id).await, UNKNOWN_JOB);
     assert_eq!(log.records().len(), stored);
 }
 
-/// Guards against a cancellation that another organisation's replaces on the log.
+/// Guards against a cancellation that another organisation's cancellation replaces on the log.
 #[tokio::test(start_paused = true)]
 async fn a_later_cancellation_by_others_replaces_none() {
     let log = MemoryLog::default();
@@ -239,7 +241,7 @@
     assert_eq!(first.job_state(&anyone, open).await, cancelled);
 }
 
-/// A leader without a job of this id, the mark of an organisation, and its submission.
+/// A leader without this job, the digest of an organisation, and the job's submission.
 fn sim() -> (SchedulerSim, OrganisationDigest, JobRecord) {
     let sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     let organisation: Arc<str> = "east".into();
@@ -249,8 +251,8 @@
     (sim, mark, JobRecord::Submitted(job_id(1), Arc::new(submission)))
 }
 
-/// Guards against a job that runs at the leader that was told of its cancellation first, or at its successor; and
-/// against one that others have cancelled.
+/// Guards against a job that runs at the leader that received its cancellation first, or at its
+/// successor; and against a job that is cancelled by others than its owner.
 #[test]
 fn a_leader_checks_who_has_cancelled_a_job_before_it_arrived() {
     let west = OrganisationDigest::of(Some(&"west".into()));
@@ -275,7 +277,7 @@
     }
 }
 
-/// Guards against a cancellation of a job that the leader has that is not carried out.
+/// Guards against a cancellation that is not carried out although the leader has the job.
 #[test]
 fn a_job_that_arrived_meanwhile_is_cancelled() {
     let (mut sim, east, submitted) = sim();
@@ -290,7 +292,8 @@
     assert_eq!(sim.alive(task(job_id(1), 0, 0)), 0);
 }
 
-/// Guards against cancellations that stay on the log for good, and against a job that outlives its own.
+/// Guards against cancellations that stay on the log for ever, and against a job that outlives its
+/// cancellation.
 #[test]
 fn a_cancellation_leaves_the_log_after_its_job() {
     let (mut sim, east, submitted) = sim();
@@ -311,8 +314,8 @@
     assert!(sim.book.get(job_id(1)).is_none());
 }
 
-/// Guards against a caller that is told that its cancellation is done while the job, which is another organisation's,
-/// runs on: its entry is behind the log and can't tell whose the job is.
+/// Guards against a caller whose cancellation is reported as done while the job, which belongs to
+/// another organisation, runs on: its entry lags behind the log and can't tell who owns the job.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_lags_behind_the_log_reports_no_ineffective_cancellation() {
     let log = MemoryLog::default();
@@ -325,8 +328,8 @@
     assert_ne!(reply, CallerReply::Stored);
 }
 
-/// Guards against a job that a caller without a key cancels before it is stored: its entry still goes by a configuration
-/// in which nobody needs one.
+/// Guards against a job that a caller without a key cancels before it is stored: its entry still
+/// uses a configuration in which nobody needs one.
 #[tokio::test(start_paused = true)]
 async fn no_one_cancels_an_organisations_job_through_an_old_configuration() {
     let log = MemoryLog::default();
