--- a/src/scheduler/losses.rs
+++ b/src/scheduler/losses.rs
@@ -344,17 +344,17 @@
     /// A pool's losses that the next leader must know.
     pub fn logged_losses(&self, service: &str, now: u64, wall_ms: u64) -> Vec<LostVm> {
         let wall_at = |at_ms: u64| wall_ms.saturating_sub(now.saturating_sub(at_ms));
-        let is_kept = |at_ms: u64| now <= at_ms + LOSS_RETENTION_MS;
+        let is_retained = |at_ms: u64| now <= at_ms + LOSS_RETENTION_MS;
         let is_open = |task: &&TaskKey| self.logged_jobs.contains(&task.job);
         let inherited = self
             .inherited
             .iter()
-            .filter(|loss| &*loss.service == service && is_kept(loss.at_ms))
+            .filter(|loss| &*loss.service == service && is_retained(loss.at_ms))
             .map(|loss| LostVm { lost_ms: wall_at(loss.at_ms), ..loss.vm.clone() });
         let own = self
             .recent
             .iter()
-            .filter(|loss| &*loss.entry.service == service && is_kept(loss.at_ms))
+            .filter(|loss| &*loss.entry.service == service && is_retained(loss.at_ms))
             .filter(|loss| !loss.is_explained())
             .map(|loss| LostVm {
                 address: loss.entry.address,
@@ -383,9 +383,10 @@
                 latest.insert(loss.entry.address, loss.at_ms);
             }
         }
-        let mut ages: Vec<u64> = latest.into_values().map(|at| now.saturating_sub(at)).collect();
-        ages.sort_unstable();
-        ages
+        let mut loss_ages_ms: Vec<u64> =
+            latest.into_values().map(|at| now.saturating_sub(at)).collect();
+        loss_ages_ms.sort_unstable();
+        loss_ages_ms
     }
 
     /// Whether a task must wait, because of its losses, until its pool is stable and has been
@@ -415,8 +416,8 @@
     /// that length, losses with that task aside.
     fn is_stable(&self, pool: &PoolView<'_>, key: &TaskKey, uptime_ms: u64, now: u64) -> bool {
         let vms = u64::try_from(pool.vms).unwrap_or(u64::MAX);
-        let ages = self.loss_ages(pool.service, key, now);
-        let lost = (1u64..).zip(ages).skip(pool.vms / TOLERATED_VMS_PART);
+        let loss_ages_ms = self.loss_ages(pool.service, key, now);
+        let lost = (1u64..).zip(loss_ages_ms).skip(pool.vms / TOLERATED_VMS_PART);
         lost.take_while(|(_, age)| *age < uptime_ms)
             .all(|(count, age)| age.saturating_mul(vms) >= count.min(vms).saturating_mul(uptime_ms))
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -502,7 +502,7 @@
         let age_ms = now.saturating_sub(job.arrived_ms);
         self.emit(SchedulerEvent::JobState { job: id, state: JobState::Cancelled, age_ms });
         self.commits.mark_changed(id);
-        self.stop_all(id, now);
+        self.stop_job(id, now);
     }
 
     /// A worker reports itself, for the first time or with something new.
@@ -627,7 +627,7 @@
         if std::mem::take(&mut self.needs_dispatch) || self.may_place_again() {
             self.dispatch(now);
         }
-        self.send_due(now);
+        self.send_due_commands(now);
     }
 
     fn begin_due_occurrences(&mut self, wall_ms: u64) {
--- a/src/scheduler/renewals.rs
+++ b/src/scheduler/renewals.rs
@@ -88,21 +88,21 @@
             return RenewPlan::Wait(Duration::from_secs(60));
         }
         // The worker would list the same exits again at once until the log has them.
-        let waits_for_log = worker.exits_seen > worker.exits_committed;
+        let is_waiting_for_log = worker.exits_seen > worker.exits_committed;
         let is_recent = now < worker.report_ms + COMMIT_WAIT_MS;
-        if worker.has_accepted_token && waits_for_log && is_recent {
+        if worker.has_accepted_token && is_waiting_for_log && is_recent {
             return RenewPlan::Wait(Duration::from_millis(worker.report_ms + COMMIT_WAIT_MS - now));
         }
         // Leases of a worker that doesn't answer must run out, or its tasks could never be started
         // elsewhere. So must those of a worker whose runs are all to be stopped, as each stop can
         // be lost. A worker whose answers come late looks silent whenever a renewal is due.
-        let answers_late = worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS);
-        let may_extend = is_confirmed && is_wanted && (!is_silent || answers_late);
+        let is_answering_late = worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS);
+        let may_extend = is_confirmed && is_wanted && (!is_silent || is_answering_late);
         let lease_until_ms = if may_extend { worker.lease_until(lease_ms, now) } else { None };
         // An exit that is already listed would end the wait at once.
         let may_wait = worker.has_accepted_token
             && !is_silent
-            && !waits_for_log
+            && !is_waiting_for_log
             && !worker.runs.is_empty()
             && !worker.has_withheld_exit();
         let wait = match may_wait {
@@ -208,8 +208,8 @@
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         let was_silent = worker.silent_since_ms.take().is_some();
-        let was_fenced = std::mem::replace(&mut worker.has_accepted_token, true);
-        if !was_fenced {
+        let had_accepted_token = std::mem::replace(&mut worker.has_accepted_token, true);
+        if !had_accepted_token {
             worker.token_accepted_ms = now;
             self.end_other_incarnations(id, now);
         }
@@ -220,7 +220,7 @@
         worker.exits_acknowledged = worker.exits_acknowledged.max(call.acked_exits);
         let has_more = !report.exits.is_empty() || !report.running.is_empty();
         // The first report under this leader's token granted no lease yet.
-        let interval_ms = match was_fenced && !was_silent {
+        let interval_ms = match had_accepted_token && !was_silent {
             true if worker.has_withheld_exit() => WITHHELD_INTERVAL_MS,
             // More exits then share a report, and reports are the larger part of the incoming
             // traffic.
@@ -228,9 +228,9 @@
             false => 0,
         };
         worker.next_renewal_ms = now + if has_more { interval_ms } else { 0 };
-        if !was_fenced || was_silent {
+        if !had_accepted_token || was_silent {
             self.needs_dispatch = true;
-            let change = if was_fenced { "answers again" } else { "accepted our token" };
+            let change = if had_accepted_token { "answers again" } else { "accepted our token" };
             let runs = self.workers.get(id).map_or(0, |worker| worker.runs.len());
             self.emit(SchedulerEvent::Worker { worker: id.clone(), change, runs });
         }
@@ -261,16 +261,16 @@
     fn handle_exits(&mut self, id: &Arc<str>, exits: &[TaskExit], now: u64) {
         let Some(worker) = self.workers.get(id) else { return };
         let seen = worker.exits_seen;
-        let mut through = seen;
+        let mut last_number = seen;
         for exit in exits.iter().filter(|exit| exit.number > seen) {
-            through = through.max(exit.number);
+            last_number = last_number.max(exit.number);
             self.handle_exit(id, exit, now);
         }
-        if through > seen {
+        if last_number > seen {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.exits_seen = through;
+                worker.exits_seen = last_number;
             }
-            self.commits.queue_exits(id.clone(), through);
+            self.commits.queue_exits(id.clone(), last_number);
         }
     }
 
@@ -284,7 +284,7 @@
         }
         let Some(job) = self.jobs.get_mut(&exit.task.job) else { return };
         let Some(spec) = job.spec(&exit.task).cloned() else { return };
-        let is_over = job.state.is_final();
+        let is_finished = job.state.is_final();
         let Some(task) = job.task_mut(&exit.task) else { return };
         let live = task
             .live
@@ -311,7 +311,7 @@
                 self.record_success(id, now);
                 self.complete_task(&exit.task, now);
             }
-            ExitKind::Failed if live.is_some() && !is_over => {
+            ExitKind::Failed if live.is_some() && !is_finished => {
                 self.record_failure(id, &exit.task, now);
                 self.handle_failed_run(&exit.task, exit.run, now);
             }
@@ -321,7 +321,7 @@
             | ExitKind::LeaseExpired
             | ExitKind::GangBroken
             | ExitKind::GangIncomplete => {
-                if spec.is_service && !was_stopping && !is_over {
+                if spec.is_service && !was_stopping && !is_finished {
                     self.back_off(&exit.task, now);
                 }
             }
@@ -377,8 +377,8 @@
             }
         }
         self.learn_runtime(key);
-        let is_over = self.jobs.get_mut(&key.job).is_some_and(|job| job.sweep());
-        if is_over {
+        let is_finished = self.jobs.get_mut(&key.job).is_some_and(|job| job.sweep());
+        if is_finished {
             self.finish_job(key.job, JobState::Completed, now);
         }
     }
@@ -463,7 +463,7 @@
         self.losses.forget_job(id);
         self.emit(SchedulerEvent::JobState { job: id, state, age_ms });
         self.commits.mark_changed(id);
-        self.stop_all(id, now);
+        self.stop_job(id, now);
     }
 
     /// Reconciles the runs that the worker lists with those placed on it.
@@ -509,7 +509,7 @@
         now: u64,
     ) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let is_over = job.state.is_final();
+        let is_finished = job.state.is_final();
         let Some(spec) = job.spec(key).cloned() else { return };
         let Some(task) = job.task_mut(key) else { return };
         if spec.is_resumable && is_storable(&listed.checkpoint) {
@@ -542,12 +542,12 @@
             }
         }
         let is_stopping = live.phase == RunPhase::Stopping;
-        if is_over && is_stopping && !was_listed && live.begun_ms == 0 {
+        if is_finished && is_stopping && !was_listed && live.begun_ms == 0 {
             let (worker, since_ms) = (live.worker.clone(), now.saturating_sub(live.phase_since_ms));
             self.emit(SchedulerEvent::StartedAfterEnd { task: *key, run, worker, since_ms });
             return;
         }
-        if is_over || task.is_done {
+        if is_finished || task.is_done {
             self.stop_run(key, run, "job is over", now);
         } else if is_at_work && !was_at_work {
             // A service never ends as done.
@@ -578,7 +578,7 @@
             }
             return;
         };
-        let is_over = match live.phase {
+        let has_ended = match live.phase {
             RunPhase::Planned | RunPhase::Starting => false,
             // This leader's token was the first thing that the worker received from it: older
             // starts are refused from then on.
@@ -587,7 +587,7 @@
                 live.answered_ms.is_some_and(|answered| sent_ms > answered)
             }
         };
-        if is_over {
+        if has_ended {
             let how = "not on the worker";
             self.emit(SchedulerEvent::Ended { task: *key, run, worker: id.clone(), how });
             self.remove_run(key, run, now);
--- a/src/scheduler/runs.rs
+++ b/src/scheduler/runs.rs
@@ -81,11 +81,11 @@
         }
         let need = job.spec(key).map(|spec| spec.need).unwrap_or_default();
         self.organisations.add_run(job.submission.organisation.as_ref(), &need);
-        let whole_ms = self.bounds.cancel_ms;
+        let wanted_lease_ms = self.bounds.cancel_ms;
         if let Some(entry) = self.workers.get_mut(worker) {
             // The lease that comes with the start ends soon, and a worker without wanted runs has
             // not had its leases renewed.
-            if !entry.has_lease_for(whole_ms, now) {
+            if !entry.has_lease_for(wanted_lease_ms, now) {
                 self.actions.push(SchedulerAction::RenewNow(worker.clone()));
             }
             entry.add_run((*key, run), placed);
@@ -114,7 +114,7 @@
     }
 
     /// Stops every run of a job.
-    pub(crate) fn stop_all(&mut self, id: crate::jobs::model::JobId, now: u64) {
+    pub(crate) fn stop_job(&mut self, id: crate::jobs::model::JobId, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
         for key in job.live_tasks() {
             self.stop_task(&key, "job is over", now);
@@ -148,7 +148,7 @@
     }
 
     /// Issues the starts and stops that are due.
-    pub(crate) fn send_due(&mut self, now: u64) {
+    pub(crate) fn send_due_commands(&mut self, now: u64) {
         if !self.is_confirmed(now) {
             return;
         }
