--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -131,7 +131,7 @@
 
     /// Updates the list of entries that keep a replica from now on.
     pub fn plan(&mut self, now: u64) -> &ReplicaList {
-        let age_max = |gap_ms: u64| LOST_OFFERS_MAX * gap_ms + OFFER_INTERVAL_MS / 3;
+        let age_max = |interval_ms: u64| LOST_OFFERS_MAX * interval_ms + OFFER_INTERVAL_MS / 3;
         let unlisted_age_max = age_max(offer_interval_ms(self.list.entries));
         self.known.retain(|address, entry| {
             let age = if self.list.contains(*address) {
