--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -44,7 +44,7 @@
 /// Most that this pause grows by while answers wait in a line of ours.
 const COMMIT_GAP_MAX: Duration = Duration::from_millis(120);
 /// Longest time for an append to be answered before it is repeated.
-const APPEND_PATIENCE: Duration = Duration::from_millis(700);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age from which a commit that the log does not have is told of, in milliseconds.
 const LONG_COMMIT_MS: u64 = 500;
 /// Pause before an append is repeated.
@@ -121,7 +121,7 @@
             parts,
             term: term.number,
             sequence: Mutex::new(0),
-            patience: Mutex::new(TimeoutEstimator::new(APPEND_PATIENCE)),
+            patience: Mutex::new(TimeoutEstimator::new(APPEND_TIMEOUT)),
             lanes,
             commit_wake: Notify::new(),
             commit_trace: Mutex::default(),
@@ -147,7 +147,7 @@
     }
 
     /// Whether it has ended by itself: somebody with a higher term was seen.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.main.is_finished()
     }
 
@@ -204,9 +204,9 @@
             now: self.node.now(),
             wall_ms: self.node.clock.wall_ms(),
         };
-        let census = self.install(start, workers);
-        info!(self.node.logger, "taken over"; "term" => self.term, "jobs" => census.jobs,
-            "runs" => census.runs, "workers" => census.workers, "offset" => end);
+        let stats = self.install(start, workers);
+        info!(self.node.logger, "taken over"; "term" => self.term, "jobs" => stats.jobs,
+            "runs" => stats.runs, "workers" => stats.workers, "offset" => end);
         // All tasks end with this one.
         let mut tasks = JoinSet::new();
         tasks.spawn(self.clone().commit());
@@ -228,9 +228,9 @@
         for wave in waves.values() {
             scheduler.add_wave(wave.clone(), book.maintained(wave.number), now);
         }
-        let census = scheduler.stats();
+        let stats = scheduler.stats();
         self.node.set_scheduler(Some(scheduler));
-        census
+        stats
     }
 
     /// Shuts earlier leaders out of the log; answers with its end, or nothing if we are shut out.
@@ -376,13 +376,13 @@
 
     /// Tells how commands get through.
     fn tell_flow(&self) {
-        let census = self.lanes.flow().census(self.node.now());
-        let window = i64::try_from(census.window).unwrap_or(i64::MAX);
+        let stats = self.lanes.flow().stats(self.node.now());
+        let window = i64::try_from(stats.window).unwrap_or(i64::MAX);
         self.node.metrics.command_window.set(window);
-        if census.waiting > 0 {
-            info!(self.node.logger, "starts wait to be sent"; "window" => census.window,
-                "under_way" => census.under_way, "waiting" => census.waiting,
-                "line_ms" => census.queue_delay_ms, "ended" => census.ended);
+        if stats.waiting > 0 {
+            info!(self.node.logger, "starts wait to be sent"; "window" => stats.window,
+                "under_way" => stats.in_flight, "waiting" => stats.waiting,
+                "line_ms" => stats.queue_delay_ms, "ended" => stats.ended);
         }
     }
 
@@ -517,7 +517,7 @@
             }
             // Changes of a job share a record: on a choked link a third of what goes out are records.
             let line =
-                Duration::from_millis(self.lanes.flow().census(self.node.now()).queue_delay_ms);
+                Duration::from_millis(self.lanes.flow().stats(self.node.now()).queue_delay_ms);
             sleep(COMMIT_GAP + line.min(COMMIT_GAP_MAX)).await;
         }
     }
--- a/src/jobs/entry.rs
+++ b/src/jobs/entry.rs
@@ -21,7 +21,7 @@
 use crate::jobs::confirm::ConfirmLoop;
 use crate::jobs::delegate::OfferLoop;
 use crate::jobs::follower::{JobFollower, OperatorDecoder, OperatorFollower, TailReader};
-use crate::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
+use crate::jobs::leadership::{APPEND_TIMEOUT, LeadershipLoop};
 use crate::jobs::metrics::JobMetrics;
 use crate::jobs::node::JobNode;
 use crate::jobs::ports::{JobLog, LogTopic, PermitClient, VmClient, WorkerClient};
@@ -255,7 +255,7 @@
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
-            patience: TimeoutEstimator::new(APPEND_PATIENCE),
+            append_timeout: TimeoutEstimator::new(APPEND_TIMEOUT),
             pending: None,
         }),
         SupervisedLoop::new(move || OfferLoop {
--- a/src/jobs/flow.rs
+++ b/src/jobs/flow.rs
@@ -24,11 +24,11 @@
 
 /// Where commands stand, for log lines and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FlowCensus {
+pub struct FlowStats {
     /// Commands that may be under way.
     pub window: usize,
     /// Commands that are.
-    pub under_way: usize,
+    pub in_flight: usize,
     /// Commands that wait.
     pub waiting: usize,
     /// Time that answers wait in a line of ours, in milliseconds.
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 struct FlowState {
     window: CommandWindow,
-    under_way: usize,
+    in_flight: usize,
     waiting: usize,
     /// Answers in the last whole span, and in the present one.
     rate: u64,
@@ -75,15 +75,15 @@
 
 impl CommandFlow {
     /// Waits for room.
-    pub async fn enter(&self, now: impl Fn() -> u64) -> FlowPermit<'_> {
+    pub async fn acquire(&self, now: impl Fn() -> u64) -> FlowPermit<'_> {
         loop {
             let mut freed = pin!(self.freed.notified());
             // In line before the look, or room that is made right after it would wake nobody.
             freed.as_mut().enable();
             {
                 let mut state = self.state();
-                if state.under_way < state.window.size() {
-                    state.under_way += 1;
+                if state.in_flight < state.window.size() {
+                    state.in_flight += 1;
                     return FlowPermit { flow: self, begun: Instant::now() };
                 }
                 state.full_ms = Some(now());
@@ -95,12 +95,12 @@
     }
 
     /// Takes room, if there is any and nobody waits for it.
-    pub fn try_enter(&self) -> Option<FlowPermit<'_>> {
+    pub fn try_acquire(&self) -> Option<FlowPermit<'_>> {
         let mut state = self.state();
-        if state.waiting > 0 || state.under_way >= state.window.size() {
+        if state.waiting > 0 || state.in_flight >= state.window.size() {
             return None;
         }
-        state.under_way += 1;
+        state.in_flight += 1;
         Some(FlowPermit { flow: self, begun: Instant::now() })
     }
 
@@ -116,11 +116,11 @@
     }
 
     /// Where commands stand.
-    pub fn census(&self, now: u64) -> FlowCensus {
+    pub fn stats(&self, now: u64) -> FlowStats {
         let state = self.state();
-        FlowCensus {
+        FlowStats {
             window: state.window.size(),
-            under_way: state.under_way,
+            in_flight: state.in_flight,
             waiting: state.waiting,
             queue_delay_ms: state.window.queue_delay_ms(now),
             ended: state.rate,
@@ -155,9 +155,9 @@
 impl Drop for FlowPermit<'_> {
     fn drop(&mut self) {
         let mut state = self.flow.state();
-        state.under_way -= 1;
+        state.in_flight -= 1;
         // The window may have grown as well.
-        let room = state.window.size().saturating_sub(state.under_way);
+        let room = state.window.size().saturating_sub(state.in_flight);
         let woken = room.min(state.waiting);
         drop(state);
         for _ in 0..woken {
--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -363,10 +363,10 @@
                 (executors.has_capacity(now), !executors.has_live_offers(now))
             };
             if is_alone || !has_capacity && waited.elapsed() >= EXECUTOR_WAIT {
-                return StartRoute::Direct(self.flow.enter(|| self.node.now()).await);
+                return StartRoute::Direct(self.flow.acquire(|| self.node.now()).await);
             }
             let has_bytes = self.direct_bytes().has_capacity(now);
-            match self.flow.try_enter().filter(|_| has_bytes) {
+            match self.flow.try_acquire().filter(|_| has_bytes) {
                 Some(permit) => return StartRoute::Direct(permit),
                 None if has_capacity => return StartRoute::Delegated,
                 None => sleep(EXECUTOR_LOOK).await,
--- a/src/jobs/leadership.rs
+++ b/src/jobs/leadership.rs
@@ -20,7 +20,7 @@
 use crate::jobs::timeout_estimator::TimeoutEstimator;
 
 /// Longest time for an append to be answered; a slow log takes 300 ms.
-pub const APPEND_PATIENCE: Duration = Duration::from_millis(600);
+pub const APPEND_TIMEOUT: Duration = Duration::from_millis(600);
 /// Pause after a read or an append that failed.
 const FAILED_PAUSE: Duration = Duration::from_millis(100);
 /// Pause of an entry without a copy of the job log between two reads: it can't lead, and every renewal would wake it.
@@ -44,7 +44,7 @@
     /// Whether a claim or renewal had no answer: it may be done yet.
     pub is_in_doubt: bool,
     /// How long to wait for an append.
-    pub patience: TimeoutEstimator,
+    pub append_timeout: TimeoutEstimator,
     /// A claim of ours that had no answer.
     pub pending: Option<PendingClaim>,
 }
@@ -181,7 +181,7 @@
             }
             LeadershipAct::Renew | LeadershipAct::Resign => self.view.replicas.clone(),
         };
-        let append_ms = self.patience.response_time().map_or(0, crate::clock::millis);
+        let append_ms = self.append_timeout.response_time().map_or(0, crate::clock::millis);
         LeadershipRecord {
             replicas,
             append_ms,
@@ -202,8 +202,8 @@
             stamp: None,
         };
         let begun = Instant::now();
-        let outcome = self.parts.log.append(&call, self.patience.timeout()).await;
-        self.patience.record_outcome(outcome, begun.elapsed());
+        let outcome = self.parts.log.append(&call, self.append_timeout.timeout()).await;
+        self.append_timeout.record_outcome(outcome, begun.elapsed());
         outcome
     }
 
@@ -276,8 +276,8 @@
     }
 
     async fn lead(&mut self) -> Duration {
-        let is_over = self.conductor.as_ref().is_none_or(Conductor::is_over);
-        if is_over {
+        let is_finished = self.conductor.as_ref().is_none_or(Conductor::is_finished);
+        if is_finished {
             self.step_down("the conductor has ended");
             return Duration::ZERO;
         }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -12,7 +12,7 @@
 };
 use ibisweir::decide::replica::ReplicaList;
 use ibisweir::jobs::conductor::ConductorParts;
-use ibisweir::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
+use ibisweir::jobs::leadership::{APPEND_TIMEOUT, LeadershipLoop};
 use ibisweir::jobs::model::StepKey;
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
@@ -158,7 +158,7 @@
         view: LeadershipView::default(),
         conductor: None,
         is_in_doubt: false,
-        patience: TimeoutEstimator::new(APPEND_PATIENCE),
+        append_timeout: TimeoutEstimator::new(APPEND_TIMEOUT),
         pending: None,
     }
 }
--- a/tests/command_flow.rs
+++ b/tests/command_flow.rs
@@ -105,7 +105,7 @@
         let (flow, link_free) = (flow.clone(), link_free.clone());
         starts.spawn(async move {
             let now = || u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-            let permit = flow.enter(now).await;
+            let permit = flow.acquire(now).await;
             let sent = Instant::now();
             let done = {
                 let mut free = link_free.lock().expect("no test thread panics");
@@ -136,7 +136,7 @@
     for _ in 0..800 {
         let flow = flow.clone();
         starts.spawn(async move {
-            let permit = flow.enter(now).await;
+            let permit = flow.acquire(now).await;
             sleep(Duration::from_millis(100)).await;
             permit.end(true, now());
         });
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -9,7 +9,7 @@
 use ibisweir::control::ControlLoop;
 use ibisweir::decide::leadership::{HolderId, LeadershipView};
 use ibisweir::jobs::conductor::ConductorParts;
-use ibisweir::jobs::leadership::{APPEND_PATIENCE, LeadershipLoop};
+use ibisweir::jobs::leadership::{APPEND_TIMEOUT, LeadershipLoop};
 use ibisweir::jobs::model::StepKey;
 use ibisweir::jobs::node::JobNode;
 use ibisweir::jobs::ports::{
@@ -177,7 +177,7 @@
             view: LeadershipView::default(),
             conductor: None,
             is_in_doubt: false,
-            patience: TimeoutEstimator::new(APPEND_PATIENCE),
+            append_timeout: TimeoutEstimator::new(APPEND_TIMEOUT),
             pending: None,
         };
         let _leading = tokio::spawn(async move {
