--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -33,25 +33,25 @@
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerStart, SchedulerStats};
 
 /// Longest time between two ticks of the scheduler.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL_MAX: Duration = Duration::from_millis(50);
 /// Pause between two ticks, in which facts gather: jobs and exits come in bursts.
-const TICK_GAP: Duration = Duration::from_millis(6);
+const TICK_PAUSE: Duration = Duration::from_millis(6);
 /// Time between two log lines about commands that wait, in milliseconds.
-const FLOW_GAP_MS: u64 = 500;
+const FLOW_LOG_INTERVAL_MS: u64 = 500;
 /// Pause between two appends: exits of a burst come a few milliseconds apart, and each append is paid
 /// for. Short against the shortest task.
-const COMMIT_GAP: Duration = Duration::from_millis(8);
+const COMMIT_PAUSE: Duration = Duration::from_millis(8);
 /// Most that this pause grows by while answers wait in a line of ours.
-const COMMIT_GAP_MAX: Duration = Duration::from_millis(120);
+const COMMIT_PAUSE_GROWTH_MAX: Duration = Duration::from_millis(120);
 /// Longest time for an append to be answered before it is repeated.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age from which a commit that the log does not have is told of, in milliseconds.
-const LONG_COMMIT_MS: u64 = 500;
+const SLOW_COMMIT_MS: u64 = 500;
 /// Pause before an append is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Wait for a record of the workers' stream in one read, and the pause after records.
-const WORKERS_WAIT: Duration = Duration::from_millis(700);
-const WORKERS_GAP: Duration = Duration::from_millis(120);
+const WORKERS_READ_WAIT: Duration = Duration::from_millis(700);
+const WORKERS_READ_PAUSE: Duration = Duration::from_millis(120);
 /// Name of the leader's writer on the log; its epoch is the term.
 const WRITER: &str = "leader";
 
@@ -91,7 +91,7 @@
 /// A running leader.
 pub struct Conductor {
     node: Arc<JobNode>,
-    main: AbortHandle,
+    main_task: AbortHandle,
     vm_commands: Arc<AtomicUsize>,
     confirmed_ms: Arc<AtomicU64>,
 }
@@ -109,7 +109,7 @@
         V: VmClient,
         P: PermitClient,
     {
-        let (teller, statuses) = WaveReporter::open(
+        let (wave_reporter, statuses) = WaveReporter::open(
             parts.log.clone(),
             parts.wave_encoder,
             node.logger.clone(),
@@ -121,18 +121,18 @@
             parts,
             term: term.number,
             sequence: Mutex::new(0),
-            patience: Mutex::new(TimeoutEstimator::new(APPEND_TIMEOUT)),
+            append_timeout: Mutex::new(TimeoutEstimator::new(APPEND_TIMEOUT)),
             lanes,
             commit_wake: Notify::new(),
-            commit_trace: Mutex::default(),
+            pending_commit: Mutex::default(),
             statuses,
             vm_commands: Arc::default(),
             confirmed_ms: Arc::new(AtomicU64::new(term.confirmed_ms)),
         };
         let (vm_commands, confirmed_ms) = (run.vm_commands.clone(), run.confirmed_ms.clone());
-        let leading = Arc::new(run).lead(teller, delegate, term.predecessor);
-        let main = tokio::spawn(leading).abort_handle();
-        Conductor { node, main, vm_commands, confirmed_ms }
+        let leading = Arc::new(run).lead(wave_reporter, delegate, term.predecessor);
+        let main_task = tokio::spawn(leading).abort_handle();
+        Conductor { node, main_task, vm_commands, confirmed_ms }
     }
 
     /// The log has confirmed the leadership with an append that was sent at `sent_ms`; also while it takes over.
@@ -148,12 +148,12 @@
 
     /// Whether it has ended by itself: somebody with a higher term was seen.
     pub fn is_finished(&self) -> bool {
-        self.main.is_finished()
+        self.main_task.is_finished()
     }
 
     /// Ends it at once.
     pub fn stop(self) {
-        self.main.abort();
+        self.main_task.abort();
     }
 }
 
@@ -162,11 +162,11 @@
     parts: ConductorParts<L, W, V, P>,
     term: u64,
     sequence: Mutex<u64>,
-    patience: Mutex<TimeoutEstimator>,
+    append_timeout: Mutex<TimeoutEstimator>,
     lanes: Arc<WorkerLanes<W>>,
     commit_wake: Notify,
     /// The commit that is under way.
-    commit_trace: Mutex<Option<PendingCommit>>,
+    pending_commit: Mutex<Option<PendingCommit>>,
     statuses: mpsc::UnboundedSender<(u64, bool)>,
     /// Commands to VMs that were not answered yet.
     vm_commands: Arc<AtomicUsize>,
@@ -183,7 +183,7 @@
 {
     async fn lead(
         self: Arc<Self>,
-        teller: WaveReporter<L>,
+        wave_reporter: WaveReporter<L>,
         delegate: StartDelegate,
         predecessor: Option<PreviousLeader>,
     ) {
@@ -210,10 +210,10 @@
         // All tasks end with this one.
         let mut tasks = JoinSet::new();
         tasks.spawn(self.clone().commit());
-        tasks.spawn(teller.run());
+        tasks.spawn(wave_reporter.run());
         tasks.spawn(delegate.run());
         tasks.spawn(self.clone().follow_workers(tail));
-        self.drive(&mut tasks).await;
+        self.run_ticks(&mut tasks).await;
         self.node.set_scheduler(None);
     }
 
@@ -222,11 +222,11 @@
     fn install(&self, start: SchedulerStart, workers: Vec<WorkerEntry>) -> SchedulerStats {
         let now = start.now;
         let waves = self.node.waves();
-        let book = self.node.book();
-        let mut scheduler = Scheduler::open(start, &book);
+        let job_table = self.node.book();
+        let mut scheduler = Scheduler::open(start, &job_table);
         scheduler.workers_listed(workers, now);
         for wave in waves.values() {
-            scheduler.add_wave(wave.clone(), book.maintained(wave.number), now);
+            scheduler.add_wave(wave.clone(), job_table.maintained(wave.number), now);
         }
         let stats = scheduler.stats();
         self.node.set_scheduler(Some(scheduler));
@@ -250,7 +250,7 @@
                 | AppendOutcome::Refused
                 | AppendOutcome::Unknown => {}
             }
-            sleep(REPEAT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -258,23 +258,23 @@
         self.sequence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn patience(&self) -> MutexGuard<'_, TimeoutEstimator> {
-        self.patience.lock().unwrap_or_else(PoisonError::into_inner)
+    fn append_timeout(&self) -> MutexGuard<'_, TimeoutEstimator> {
+        self.append_timeout.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn commit_trace(&self) -> MutexGuard<'_, Option<PendingCommit>> {
-        self.commit_trace.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending_commit(&self) -> MutexGuard<'_, Option<PendingCommit>> {
+        self.pending_commit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn append(&self, records: Vec<KeyedRecord>, sequence: u64) -> AppendOutcome {
         let stamp = WriterStamp { writer: WRITER.into(), epoch: self.term, sequence };
         let call =
             AppendCall { topic: LogTopic::Jobs, records, expected_end: None, stamp: Some(stamp) };
-        let begun = Instant::now();
-        let patience = self.patience().timeout();
-        let outcome = self.parts.log.append(&call, patience).await;
-        self.node.metrics.append_seconds.observe(begun.elapsed().as_secs_f64());
-        self.patience().record_outcome(outcome, begun.elapsed());
+        let started = Instant::now();
+        let append_timeout = self.append_timeout().timeout();
+        let outcome = self.parts.log.append(&call, append_timeout).await;
+        self.node.metrics.append_seconds.observe(started.elapsed().as_secs_f64());
+        self.append_timeout().record_outcome(outcome, started.elapsed());
         if matches!(outcome, AppendOutcome::Done { .. }) {
             self.node.touch();
         }
@@ -286,13 +286,13 @@
         let mut tail = TailReader::at(LogTopic::Jobs, self.node.book_end());
         while self.node.book_end() < end {
             let step = tail.next(&self.parts.log, Duration::ZERO).await;
-            let has_news = match &step {
+            let has_records = match &step {
                 TailStep::Snapshot(records) | TailStep::Records(records) => !records.is_empty(),
                 TailStep::Failed => false,
             };
             fold_step(&self.node, step, tail.position());
-            if !has_news && self.node.book_end() < end {
-                sleep(REPEAT_PAUSE).await;
+            if !has_records && self.node.book_end() < end {
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -308,7 +308,7 @@
             if let TailStep::Snapshot(records) = tail.next(&self.parts.log, Duration::ZERO).await {
                 return (tail, self.decode_workers(&records), asked_ms);
             }
-            sleep(REPEAT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -330,7 +330,7 @@
             if !tail.has_pages() {
                 asked_ms = sent_ms;
             }
-            let step = tail.next(&self.parts.log, WORKERS_WAIT).await;
+            let step = tail.next(&self.parts.log, WORKERS_READ_WAIT).await;
             let now = self.node.now();
             match step {
                 TailStep::Snapshot(records) => {
@@ -343,20 +343,21 @@
                 }
                 TailStep::Records(records) => {
                     self.node.touch();
-                    self.take_workers(&records, now);
+                    self.apply_worker_records(&records, now);
                     if tail.is_at_end() {
-                        let shown_ms = shown_ms(records.is_empty(), sent_ms, WORKERS_WAIT, now);
+                        let shown_ms =
+                            shown_ms(records.is_empty(), sent_ms, WORKERS_READ_WAIT, now);
                         self.node.with_scheduler(|scheduler| scheduler.workers_read(shown_ms));
                     }
                 }
                 TailStep::Failed => {}
             }
             self.node.wake.notify_one();
-            sleep(WORKERS_GAP).await;
+            sleep(WORKERS_READ_PAUSE).await;
         }
     }
 
-    fn take_workers(&self, records: &[(u64, KeyedRecord)], now: u64) {
+    fn apply_worker_records(&self, records: &[(u64, KeyedRecord)], now: u64) {
         for (_, record) in records {
             if record.value.is_empty() {
                 let id: Arc<str> = record.key.as_str().into();
@@ -375,7 +376,7 @@
     }
 
     /// Tells how commands get through.
-    fn tell_flow(&self) {
+    fn log_flow(&self) {
         let stats = self.lanes.flow().stats(self.node.now());
         let window = i64::try_from(stats.window).unwrap_or(i64::MAX);
         self.node.metrics.command_window.set(window);
@@ -386,44 +387,44 @@
         }
     }
 
-    async fn drive(self: &Arc<Self>, tasks: &mut JoinSet<()>) {
-        let mut told_ms = 0;
+    async fn run_ticks(self: &Arc<Self>, tasks: &mut JoinSet<()>) {
+        let mut logged_ms = 0;
         let mut load = LeaderLoad::open(&self.node);
         loop {
             let now = self.node.now();
             let wall_ms = self.node.clock.wall_ms();
             let pace = self.lanes.flow().pace(now);
-            if now >= told_ms + FLOW_GAP_MS {
-                told_ms = now;
-                self.tell_flow();
+            if now >= logged_ms + FLOW_LOG_INTERVAL_MS {
+                logged_ms = now;
+                self.log_flow();
             }
-            let turn = self.node.with_scheduler(|scheduler| {
+            let tick_result = self.node.with_scheduler(|scheduler| {
                 scheduler.set_pace(pace);
                 scheduler.tick(now, wall_ms);
                 let age_ms = scheduler.confirmation_age_ms(now);
                 (scheduler.take_actions(), scheduler.is_deposed(), age_ms)
             });
-            let Some((actions, is_deposed, age_ms)) = turn else { return };
+            let Some((actions, is_deposed, age_ms)) = tick_result else { return };
             load.record_confirmation_age(age_ms);
             if is_deposed {
                 info!(self.node.logger, "a higher term was seen"; "term" => self.term);
                 return;
             }
             for action in actions {
-                self.carry_out(action, tasks);
+                self.execute(action, tasks);
             }
             self.commit_wake.notify_one();
             while tasks.try_join_next().is_some() {}
-            let paused = Instant::now();
-            sleep(TICK_GAP).await;
-            let commit = *self.commit_trace();
-            load.record_wake(&self.node, paused.elapsed().saturating_sub(TICK_GAP), commit);
+            let paused_at = Instant::now();
+            sleep(TICK_PAUSE).await;
+            let commit = *self.pending_commit();
+            load.record_wake(&self.node, paused_at.elapsed().saturating_sub(TICK_PAUSE), commit);
             // No wake within the time is the usual case.
-            let _ = timeout(TICK, self.node.wake.notified()).await;
+            let _ = timeout(TICK_INTERVAL_MAX, self.node.wake.notified()).await;
         }
     }
 
-    fn carry_out(self: &Arc<Self>, action: SchedulerAction, tasks: &mut JoinSet<()>) {
+    fn execute(self: &Arc<Self>, action: SchedulerAction, tasks: &mut JoinSet<()>) {
         match action {
             SchedulerAction::SendCommand(target, task, run) => {
                 self.lanes.send(&target, LaneCommand::Run(task, run), tasks);
@@ -441,19 +442,19 @@
                 tasks.spawn(self.clone().list_vms());
             }
             SchedulerAction::CommandVm(command, fence) => {
-                let run = self.clone();
+                let leader = self.clone();
                 tasks.spawn(async move {
-                    let holder = run.node.settings.node.clone();
-                    let may_send = || run.may_command_vms();
+                    let holder = leader.node.settings.node.clone();
+                    let may_send = || leader.may_command_vms();
                     let stamp = VmStamp { holder, fence };
-                    run.vm_commands.fetch_add(1, Ordering::Relaxed);
-                    let outcome = run.parts.vms.command(&command, &stamp, may_send).await;
-                    run.vm_commands.fetch_sub(1, Ordering::Relaxed);
-                    let now = run.node.now();
-                    run.node.with_scheduler(|scheduler| {
+                    leader.vm_commands.fetch_add(1, Ordering::Relaxed);
+                    let outcome = leader.parts.vms.command(&command, &stamp, may_send).await;
+                    leader.vm_commands.fetch_sub(1, Ordering::Relaxed);
+                    let now = leader.node.now();
+                    leader.node.with_scheduler(|scheduler| {
                         scheduler.vm_commanded(&command, outcome, now);
                     });
-                    run.node.wake.notify_one();
+                    leader.node.wake.notify_one();
                 });
             }
             SchedulerAction::PublishWaveStatus(number, is_completed) => {
@@ -461,18 +462,20 @@
                 let _ = self.statuses.send((number, is_completed));
             }
             SchedulerAction::RequestPermits(step, workers) => {
-                let run = self.clone();
+                let leader = self.clone();
                 tasks.spawn(async move {
-                    let grant = run.parts.permits.ask(&step, &workers).await;
+                    let grant = leader.parts.permits.ask(&step, &workers).await;
                     let allowed = grant.as_ref().map(|grant| grant.allowed.len());
-                    info!(run.node.logger, "placement permits"; "step" => %step,
+                    info!(leader.node.logger, "placement permits"; "step" => %step,
                         "asked" => workers.len(), "allowed" => allowed);
-                    let now = run.node.now();
-                    run.node.with_scheduler(|scheduler| scheduler.update_permits(step, grant, now));
-                    run.node.wake.notify_one();
+                    let now = leader.node.now();
+                    leader
+                        .node
+                        .with_scheduler(|scheduler| scheduler.update_permits(step, grant, now));
+                    leader.node.wake.notify_one();
                 });
             }
-            SchedulerAction::Event(note) => decision_log::write(&self.node, &note),
+            SchedulerAction::Event(event) => decision_log::write(&self.node, &event),
         }
     }
 
@@ -491,10 +494,10 @@
             return;
         };
         let now = self.node.now();
-        let rest_ms = vm_list_pause_ms(vms.len(), self.node.settings.link);
+        let pause_ms = vm_list_pause_ms(vms.len(), self.node.settings.link);
         self.node.with_scheduler(|scheduler| {
             scheduler.update_vms(vms, asked_ms, now);
-            scheduler.pause_vm_list(rest_ms, now);
+            scheduler.pause_vm_list(pause_ms, now);
         });
         self.node.wake.notify_one();
     }
@@ -502,10 +505,10 @@
     /// Commits what the scheduler has decided, one append at a time.
     async fn commit(self: Arc<Self>) {
         loop {
-            let room = self.parts.log.append_limit();
-            self.node.metrics.append_limit.set(i64::try_from(room).unwrap_or(i64::MAX));
-            let take = |scheduler: &mut Scheduler| scheduler.take_commit_within(room);
-            let batch = self.node.with_scheduler(take).flatten();
+            let limit = self.parts.log.append_limit();
+            self.node.metrics.append_limit.set(i64::try_from(limit).unwrap_or(i64::MAX));
+            let take_batch = |scheduler: &mut Scheduler| scheduler.take_commit_within(limit);
+            let batch = self.node.with_scheduler(take_batch).flatten();
             let Some(batch) = batch else {
                 self.commit_wake.notified().await;
                 continue;
@@ -516,9 +519,9 @@
                 return;
             }
             // Changes of a job share a record: on a choked link a third of what goes out are records.
-            let line =
+            let queue_delay =
                 Duration::from_millis(self.lanes.flow().stats(self.node.now()).queue_delay_ms);
-            sleep(COMMIT_GAP + line.min(COMMIT_GAP_MAX)).await;
+            sleep(COMMIT_PAUSE + queue_delay.min(COMMIT_PAUSE_GROWTH_MAX)).await;
         }
     }
 
@@ -530,12 +533,12 @@
             return true;
         }
         let sent_ms = self.node.now();
-        let mut trace = PendingCommit { bytes: batch.bytes(), begun_ms: sent_ms, tries: 0 };
+        let mut pending = PendingCommit { bytes: batch.bytes(), begun_ms: sent_ms, tries: 0 };
         loop {
-            trace.tries += 1;
-            *self.commit_trace() = Some(trace);
+            pending.tries += 1;
+            *self.pending_commit() = Some(pending);
             let outcome = self.append(batch.records.clone(), sequence).await;
-            self.tell_commit(batch, trace);
+            self.log_slow_commit(batch, pending);
             match outcome {
                 AppendOutcome::Done { offset, end } => {
                     *self.sequence() = sequence + 1;
@@ -551,23 +554,23 @@
                 | AppendOutcome::Unknown => {}
             }
             self.node.metrics.append_repeats.inc();
-            sleep(REPEAT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
     /// Tells of a commit that takes long.
-    fn tell_commit(&self, batch: &CommitBatch, trace: PendingCommit) {
-        let age_ms = self.node.now().saturating_sub(trace.begun_ms);
-        if age_ms < LONG_COMMIT_MS {
+    fn log_slow_commit(&self, batch: &CommitBatch, pending: PendingCommit) {
+        let age_ms = self.node.now().saturating_sub(pending.begun_ms);
+        if age_ms < SLOW_COMMIT_MS {
             return;
         }
-        info!(self.node.logger, "a commit waits for the log"; "bytes" => trace.bytes,
-            "records" => batch.records.len(), "tries" => trace.tries, "age_ms" => age_ms,
+        info!(self.node.logger, "a commit waits for the log"; "bytes" => pending.bytes,
+            "records" => batch.records.len(), "tries" => pending.tries, "age_ms" => age_ms,
             "room" => self.parts.log.append_limit());
     }
 
     fn committed(&self, batch: &CommitBatch) {
-        *self.commit_trace() = None;
+        *self.pending_commit() = None;
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| scheduler.committed(batch, now));
         self.node.relayed(&batch.relayed);
--- a/src/jobs/flow.rs
+++ b/src/jobs/flow.rs
@@ -16,11 +16,11 @@
 
 /// Time for which starts may stand in line, in milliseconds: what is placed sooner than it can be sent
 /// keeps room from tasks that are more urgent by then.
-const LINE_MS: u64 = 300;
+const QUEUE_TIME_MAX_MS: u64 = 300;
 /// Starts that may stand in line however slow they go.
-const LINE_MIN: u64 = 16;
+const QUEUED_STARTS_MIN: u64 = 16;
 /// Time over which the rate of answers is counted, in milliseconds.
-const RATE_MS: u64 = 400;
+const RATE_INTERVAL_MS: u64 = 400;
 
 /// Where commands stand, for log lines and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,44 +52,44 @@
     in_flight: usize,
     waiting: usize,
     /// Answers in the last whole span, and in the present one.
-    rate: u64,
-    counted: u64,
-    span_ms: u64,
+    last_rate: u64,
+    ended_count: u64,
+    interval_start_ms: u64,
     /// When a command last had to wait, in milliseconds.
-    full_ms: Option<u64>,
+    last_full_ms: Option<u64>,
 }
 
 /// Holds commands back while as many are under way as get through.
 #[derive(Debug, Default)]
 pub struct CommandFlow {
     state: Mutex<FlowState>,
-    freed: Notify,
+    capacity_freed: Notify,
 }
 
 /// One command under way.
 #[derive(Debug)]
 pub struct FlowPermit<'a> {
     flow: &'a CommandFlow,
-    begun: Instant,
+    started: Instant,
 }
 
 impl CommandFlow {
     /// Waits for room.
     pub async fn acquire(&self, now: impl Fn() -> u64) -> FlowPermit<'_> {
         loop {
-            let mut freed = pin!(self.freed.notified());
+            let mut capacity_freed = pin!(self.capacity_freed.notified());
             // In line before the look, or room that is made right after it would wake nobody.
-            freed.as_mut().enable();
+            capacity_freed.as_mut().enable();
             {
                 let mut state = self.state();
                 if state.in_flight < state.window.size() {
                     state.in_flight += 1;
-                    return FlowPermit { flow: self, begun: Instant::now() };
+                    return FlowPermit { flow: self, started: Instant::now() };
                 }
-                state.full_ms = Some(now());
+                state.last_full_ms = Some(now());
                 state.waiting += 1;
             }
-            freed.await;
+            capacity_freed.await;
             self.state().waiting -= 1;
         }
     }
@@ -101,16 +101,17 @@
             return None;
         }
         state.in_flight += 1;
-        Some(FlowPermit { flow: self, begun: Instant::now() })
+        Some(FlowPermit { flow: self, started: Instant::now() })
     }
 
     /// How fast commands get through now.
     pub fn pace(&self, now: u64) -> FlowPace {
         let state = self.state();
-        let is_full = state.full_ms.is_some_and(|full| now < full + RATE_MS);
-        let a_line = (state.rate * LINE_MS / RATE_MS).max(LINE_MIN);
+        let is_full = state.last_full_ms.is_some_and(|full| now < full + RATE_INTERVAL_MS);
+        let queued_max =
+            (state.last_rate * QUEUE_TIME_MAX_MS / RATE_INTERVAL_MS).max(QUEUED_STARTS_MIN);
         FlowPace {
-            starts_max: is_full.then(|| usize::try_from(a_line).unwrap_or(usize::MAX)),
+            starts_max: is_full.then(|| usize::try_from(queued_max).unwrap_or(usize::MAX)),
             queue_delay_ms: state.window.queue_delay_ms(now),
         }
     }
@@ -123,7 +124,7 @@
             in_flight: state.in_flight,
             waiting: state.waiting,
             queue_delay_ms: state.window.queue_delay_ms(now),
-            ended: state.rate,
+            ended: state.last_rate,
         }
     }
 
@@ -131,24 +132,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn learn(&self, delay: Duration, is_answered: bool, now: u64) {
+    fn record_end(&self, delay: Duration, is_answered: bool, now: u64) {
         let mut state = self.state();
         let is_full = state.waiting > 0;
         let delay_us = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
         state.window.record_end(delay_us, is_answered, is_full, now);
-        if now >= state.span_ms + RATE_MS {
-            state.rate = if now < state.span_ms + 2 * RATE_MS { state.counted } else { 0 };
-            state.counted = 0;
-            state.span_ms = now;
+        if now >= state.interval_start_ms + RATE_INTERVAL_MS {
+            state.last_rate = if now < state.interval_start_ms + 2 * RATE_INTERVAL_MS {
+                state.ended_count
+            } else {
+                0
+            };
+            state.ended_count = 0;
+            state.interval_start_ms = now;
         }
-        state.counted += 1;
+        state.ended_count += 1;
     }
 }
 
 impl FlowPermit<'_> {
     /// Takes in that the command was answered or given up.
     pub fn end(self, is_answered: bool, now: u64) {
-        self.flow.learn(self.begun.elapsed(), is_answered, now);
+        self.flow.record_end(self.started.elapsed(), is_answered, now);
     }
 }
 
@@ -157,11 +162,11 @@
         let mut state = self.flow.state();
         state.in_flight -= 1;
         // The window may have grown as well.
-        let room = state.window.size().saturating_sub(state.in_flight);
-        let woken = room.min(state.waiting);
+        let free = state.window.size().saturating_sub(state.in_flight);
+        let woken = free.min(state.waiting);
         drop(state);
         for _ in 0..woken {
-            self.flow.freed.notify_one();
+            self.flow.capacity_freed.notify_one();
         }
     }
 }
--- a/src/jobs/leadership.rs
+++ b/src/jobs/leadership.rs
@@ -22,12 +22,12 @@
 /// Longest time for an append to be answered; a slow log takes 300 ms.
 pub const APPEND_TIMEOUT: Duration = Duration::from_millis(600);
 /// Pause after a read or an append that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Pause of an entry without a copy of the job log between two reads: it can't lead, and every renewal would wake it.
-const REMOTE_PAUSE: Duration = Duration::from_millis(900);
+const NON_REPLICA_PAUSE: Duration = Duration::from_millis(900);
 /// Shortest and longest wait of one read.
-const WAIT_MIN: Duration = Duration::from_millis(20);
-const WAIT_MAX: Duration = Duration::from_millis(1_000);
+const READ_WAIT_MIN: Duration = Duration::from_millis(20);
+const READ_WAIT_MAX: Duration = Duration::from_millis(1_000);
 
 /// Follows and holds the leadership.
 pub struct LeadershipLoop<L, W, V, P> {
@@ -79,12 +79,12 @@
 {
     async fn follow(&mut self) -> Duration {
         if self.node.is_stopping() {
-            return WAIT_MAX;
+            return READ_WAIT_MAX;
         }
         if let Some(pending) = self.pending
             && self.view.is_held_by(&self.own)
         {
-            return self.take_up(pending).await;
+            return self.resume_claim(pending).await;
         }
         let now = self.node.now();
         let is_closed = self.node.leader_is_closed();
@@ -97,21 +97,21 @@
             return self.claim().await;
         }
         let wait = claim_in.map_or(Duration::ZERO, |wait_ms| match self.node.may_lead() {
-            true => Duration::from_millis(wait_ms).clamp(WAIT_MIN, WAIT_MAX),
-            false => WAIT_MAX,
+            true => Duration::from_millis(wait_ms).clamp(READ_WAIT_MIN, READ_WAIT_MAX),
+            false => READ_WAIT_MAX,
         });
         let is_read = self.read(wait).await;
-        self.note_replicas();
+        self.record_replicas();
         let is_remote = !self.node.is_replica() && !self.view.replicas.is_empty();
         match (is_read, is_remote) {
-            (false, _) => FAILED_PAUSE,
+            (false, _) => RETRY_DELAY,
             (true, false) => Duration::ZERO,
-            (true, true) => REMOTE_PAUSE,
+            (true, true) => NON_REPLICA_PAUSE,
         }
     }
 
     /// Notes who keeps a copy of the job log, and whether this entry does.
-    fn note_replicas(&self) {
+    fn record_replicas(&self) {
         let (address, now) = (self.node.settings.peer, self.node.now());
         // An entry that has read nothing yet can't tell.
         let is_replica = self.conductor.is_some()
@@ -130,7 +130,7 @@
             ReadOutcome::Read(batch) => {
                 self.node.touch();
                 for (offset, record) in &batch.records {
-                    self.fold(*offset, record, now);
+                    self.apply_record(*offset, record, now);
                 }
                 self.node.set_leader(self.view.address);
                 self.view.record_read(batch.next.max(self.view.end), now);
@@ -154,7 +154,7 @@
         }
     }
 
-    fn fold(&mut self, offset: u64, record: &KeyedRecord, now: u64) {
+    fn apply_record(&mut self, offset: u64, record: &KeyedRecord, now: u64) {
         match LeadershipRecord::decode(&record.value) {
             Some(record) => {
                 if record.act != LeadershipAct::Renew {
@@ -171,7 +171,7 @@
         }
     }
 
-    fn record(&self, act: LeadershipAct) -> LeadershipRecord {
+    fn build_record(&self, act: LeadershipAct) -> LeadershipRecord {
         let replicas = match act {
             LeadershipAct::Renew if self.conductor.is_some() => self.node.plan_replicas(),
             LeadershipAct::Claim => {
@@ -193,7 +193,7 @@
     }
 
     async fn append(&mut self, act: LeadershipAct) -> AppendOutcome {
-        let record = self.record(act);
+        let record = self.build_record(act);
         let Ok(value) = postcard::to_stdvec(&record) else { return AppendOutcome::Refused };
         let call = AppendCall {
             topic: LogTopic::Leadership,
@@ -201,9 +201,9 @@
             expected_end: Some(self.view.end),
             stamp: None,
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         let outcome = self.parts.log.append(&call, self.append_timeout.timeout()).await;
-        self.append_timeout.record_outcome(outcome, begun.elapsed());
+        self.append_timeout.record_outcome(outcome, started.elapsed());
         outcome
     }
 
@@ -213,9 +213,9 @@
         match self.append(LeadershipAct::Claim).await {
             AppendOutcome::Done { .. } => {
                 let now = self.node.now();
-                let record = self.record(LeadershipAct::Claim);
+                let record = self.build_record(LeadershipAct::Claim);
                 self.view.apply(self.view.end, &record, now);
-                self.begin(predecessor, sent_ms);
+                self.start_leading(predecessor, sent_ms);
                 Duration::from_millis(RENEWAL_INTERVAL_MS)
             }
             // Somebody was faster; what was appended tells who.
@@ -223,18 +223,18 @@
                 if self.read(Duration::ZERO).await {
                     Duration::ZERO
                 } else {
-                    FAILED_PAUSE
+                    RETRY_DELAY
                 }
             }
             // A claim that is done all the same is found by reading on.
             AppendOutcome::Unknown => {
                 self.is_in_doubt = true;
                 self.pending = Some(PendingClaim { predecessor });
-                FAILED_PAUSE
+                RETRY_DELAY
             }
             _ => {
                 self.view.record_read_failure();
-                FAILED_PAUSE
+                RETRY_DELAY
             }
         }
     }
@@ -244,26 +244,26 @@
     ///
     /// It may have been read by others long ago, and one of them may be claiming by now. So a renewal
     /// comes first: only if the stream still ends with ours do we begin.
-    async fn take_up(&mut self, pending: PendingClaim) -> Duration {
+    async fn resume_claim(&mut self, pending: PendingClaim) -> Duration {
         let sent_ms = self.node.now();
         match self.append(LeadershipAct::Renew).await {
             AppendOutcome::Done { end, .. } => {
                 self.view.record_renewal(end, self.node.now());
-                self.begin(pending.predecessor, sent_ms);
+                self.start_leading(pending.predecessor, sent_ms);
                 Duration::from_millis(RENEWAL_INTERVAL_MS)
             }
             AppendOutcome::EndMoved { .. } | AppendOutcome::Unknown => {
                 match self.read(Duration::ZERO).await {
                     true => Duration::ZERO,
-                    false => FAILED_PAUSE,
+                    false => RETRY_DELAY,
                 }
             }
-            _ => FAILED_PAUSE,
+            _ => RETRY_DELAY,
         }
     }
 
     /// Begins to lead, by an append that was sent at `sent_ms`.
-    fn begin(&mut self, predecessor: Option<PreviousLeader>, sent_ms: u64) {
+    fn start_leading(&mut self, predecessor: Option<PreviousLeader>, sent_ms: u64) {
         self.pending = None;
         self.is_in_doubt = false;
         self.node.set_leader(None);
@@ -284,13 +284,13 @@
         if self.node.is_stopping() {
             // A successor commands the same VMs as soon as it has read the resignation.
             if self.conductor.as_ref().is_some_and(Conductor::is_commanding_vms) {
-                return WAIT_MIN;
+                return READ_WAIT_MIN;
             }
             // Nothing may be commanded once the resignation can be read.
             self.step_down("stopping");
             let outcome = self.append(LeadershipAct::Resign).await;
             info!(self.node.logger, "resigned"; "outcome" => ?outcome);
-            return WAIT_MAX;
+            return READ_WAIT_MAX;
         }
         let sent_ms = self.node.now();
         let outcome = self.append(LeadershipAct::Renew).await;
@@ -302,25 +302,25 @@
             AppendOutcome::Done { end, .. } => {
                 self.view.record_renewal(end, self.node.now());
                 self.view.replicas = self.node.planner().list().clone();
-                self.note_replicas();
+                self.record_replicas();
                 self.confirm(sent_ms);
-                let spent = self.node.now().saturating_sub(sent_ms);
-                Duration::from_millis(RENEWAL_INTERVAL_MS.saturating_sub(spent))
+                let elapsed_ms = self.node.now().saturating_sub(sent_ms);
+                Duration::from_millis(RENEWAL_INTERVAL_MS.saturating_sub(elapsed_ms))
             }
-            AppendOutcome::EndMoved { .. } => self.resolve().await,
+            AppendOutcome::EndMoved { .. } => self.resolve_renewal().await,
             AppendOutcome::Unknown => {
                 self.view.record_unanswered(sent_ms);
-                self.resolve().await
+                self.resolve_renewal().await
             }
-            _ => FAILED_PAUSE,
+            _ => RETRY_DELAY,
         }
     }
 
     /// A renewal may have been done: the stream tells.
-    async fn resolve(&mut self) -> Duration {
+    async fn resolve_renewal(&mut self) -> Duration {
         let end = self.view.end;
         if !self.read(Duration::ZERO).await {
-            return FAILED_PAUSE;
+            return RETRY_DELAY;
         }
         if !self.view.is_held_by(&self.own) {
             self.step_down("another entry leads");
@@ -331,7 +331,7 @@
         {
             self.confirm(sent_ms);
         }
-        sleep(WAIT_MIN).await;
+        sleep(READ_WAIT_MIN).await;
         Duration::ZERO
     }
 
