--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -1,7 +1,8 @@
-//! Runs the scheduler against the outside while this entry leads.
+//! Runs the scheduler while this entry leads, and connects it to the log, the workers and the VMs.
 //!
-//! One task drives the scheduler and hands out what it decides, to the workers by their lanes
-//! (`lanes.rs`); one task commits to the log. All end together when the leadership does.
+//! One task ticks the scheduler and executes its actions; commands to workers go through their
+//! lanes (`lanes.rs`). Other tasks commit decisions to the log, report wave statuses, send delegated
+//! starts and follow the workers' stream. All of them end with the leadership.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -32,59 +33,61 @@
 use crate::scheduler::fleet::vm_list_pause_ms;
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerStart, SchedulerStats};
 
-/// Longest time between two ticks of the scheduler.
+/// Longest wait for an event before the next tick of the scheduler.
 const TICK_INTERVAL_MAX: Duration = Duration::from_millis(50);
-/// Pause between two ticks, in which facts gather: jobs and exits come in bursts.
+/// Pause between two ticks, so that one tick handles several events: jobs and exits come in bursts.
 const TICK_PAUSE: Duration = Duration::from_millis(6);
-/// Time between two log lines about commands that wait, in milliseconds.
+/// Time between two log lines about waiting commands, in milliseconds.
 const FLOW_LOG_INTERVAL_MS: u64 = 500;
-/// Pause between two appends: exits of a burst come a few milliseconds apart, and each append is paid
-/// for. Short against the shortest task.
+/// Pause between two commits. Exits of a burst come a few milliseconds apart, and each append has a
+/// cost, so one commit covers several of them. The pause is short compared with the shortest task.
 const COMMIT_PAUSE: Duration = Duration::from_millis(8);
-/// Most that this pause grows by while answers wait in a line of ours.
+/// Largest addition to this pause, for the time that answers spend in a queue.
 const COMMIT_PAUSE_GROWTH_MAX: Duration = Duration::from_millis(120);
-/// Longest time for an append to be answered before it is repeated.
+/// Largest timeout of an append, after which it is repeated.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age from which a commit that the log does not have is told of, in milliseconds.
+/// Age from which an unfinished commit is logged as slow, in milliseconds.
 const SLOW_COMMIT_MS: u64 = 500;
-/// Pause before an append is repeated.
+/// Delay before an append or read is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Wait for a record of the workers' stream in one read, and the pause after records.
+/// Longest wait for records in one read of the workers' stream, and the pause between two reads.
 const WORKERS_READ_WAIT: Duration = Duration::from_millis(700);
 const WORKERS_READ_PAUSE: Duration = Duration::from_millis(120);
-/// Name of the leader's writer on the log; its epoch is the term.
+/// Writer name in the log; the epoch is the leader's term.
 const WRITER: &str = "leader";
 
-/// Reads a worker's record; the platform's adapter knows the form.
+/// Decodes a worker's record, whose format the platform adapter defines; `None` if it is malformed
+/// or a deletion.
 pub type WorkerDecoder = fn(&KeyedRecord) -> Option<WorkerEntry>;
-/// Writes a wave's status; the platform's adapter knows the form.
+/// Encodes the status of a wave, from its number and whether it is complete, in the format of the
+/// platform adapter; `None` if encoding fails.
 pub type WaveEncoder = fn(u64, bool) -> Option<KeyedRecord>;
 
-/// What a leader works with.
+/// Clients and formats that a leader needs.
 #[derive(Clone)]
 pub struct ConductorParts<L, W, V, P> {
-    /// The log.
+    /// Client of the log.
     pub log: L,
-    /// The workers.
+    /// Client for commands to workers.
     pub workers: W,
-    /// The VMs.
+    /// Client of the VM service.
     pub vms: V,
-    /// The placement policy service.
+    /// Client of the placement policy service.
     pub permits: P,
-    /// Reads a worker's record.
+    /// Decoder for the records of the workers' stream.
     pub worker_decoder: WorkerDecoder,
-    /// Writes a wave's status.
+    /// Encoder for wave statuses.
     pub wave_encoder: WaveEncoder,
 }
 
-/// A term that begins.
+/// A new term of this entry.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderTerm {
-    /// Its number.
+    /// Term number, which is also the epoch of its writers on the log.
     pub number: u64,
-    /// The leader before, as last seen.
+    /// The previous leader, as last seen.
     pub predecessor: Option<PreviousLeader>,
-    /// When the append that it rests on was sent, in milliseconds.
+    /// When the append that confirmed this leadership was sent, in milliseconds.
     pub confirmed_ms: u64,
 }
 
@@ -97,7 +100,7 @@
 }
 
 impl Conductor {
-    /// Takes over in a task of its own.
+    /// Starts the takeover and the term in a task of its own.
     pub fn spawn<L, W, V, P>(
         node: Arc<JobNode>,
         parts: ConductorParts<L, W, V, P>,
@@ -135,23 +138,24 @@
         Conductor { node, main_task, vm_commands, confirmed_ms }
     }
 
-    /// The log has confirmed the leadership with an append that was sent at `sent_ms`; also while it takes over.
+    /// Records that the log has confirmed the leadership by an append that was sent at `sent_ms`.
+    /// Takes effect during the takeover too.
     pub fn confirm(&self, sent_ms: u64) {
         self.confirmed_ms.fetch_max(sent_ms, Ordering::AcqRel);
         self.node.with_scheduler(|scheduler| scheduler.confirm(sent_ms));
     }
 
-    /// Whether a command to a VM is waiting for its answer; no new one is sent while the entry stops.
+    /// Whether a command to a VM waits for its answer. No new one is sent while the entry stops.
     pub fn is_commanding_vms(&self) -> bool {
         self.vm_commands.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether it has ended by itself: somebody with a higher term was seen.
+    /// Whether the term has ended by itself, because a higher term was seen.
     pub fn is_finished(&self) -> bool {
         self.main_task.is_finished()
     }
 
-    /// Ends it at once.
+    /// Aborts all tasks of the term at once.
     pub fn stop(self) {
         self.main_task.abort();
     }
@@ -165,12 +169,12 @@
     append_timeout: Mutex<TimeoutEstimator>,
     lanes: Arc<WorkerLanes<W>>,
     commit_wake: Notify,
-    /// The commit that is under way.
+    /// The commit in flight.
     pending_commit: Mutex<Option<PendingCommit>>,
     statuses: mpsc::UnboundedSender<(u64, bool)>,
-    /// Commands to VMs that were not answered yet.
+    /// Number of commands to VMs without an answer yet.
     vm_commands: Arc<AtomicUsize>,
-    /// When the newest confirmation of the leadership was sent, in milliseconds.
+    /// When the append of the newest confirmation was sent, in milliseconds.
     confirmed_ms: Arc<AtomicU64>,
 }
 
@@ -187,7 +191,8 @@
         delegate: StartDelegate,
         predecessor: Option<PreviousLeader>,
     ) {
-        // A try without an answer may have been done; a later one is then answered with the end that it had found.
+        // The time before the first try counts: a try without an answer may have been stored, and a
+        // later one is then answered with the end that the first had found.
         let raised_ms = self.node.now();
         let Some(end) = self.raise_epoch().await else { return };
         self.read_through(end).await;
@@ -205,9 +210,9 @@
             wall_ms: self.node.clock.wall_ms(),
         };
         let stats = self.install(start, workers);
-        info!(self.node.logger, "taken over"; "term" => self.term, "jobs" => stats.jobs,
+        info!(self.node.logger, "takeover complete"; "term" => self.term, "jobs" => stats.jobs,
             "runs" => stats.runs, "workers" => stats.workers, "offset" => end);
-        // All tasks end with this one.
+        // Dropping the set aborts all its tasks.
         let mut tasks = JoinSet::new();
         tasks.spawn(self.clone().commit());
         tasks.spawn(wave_reporter.run());
@@ -217,8 +222,10 @@
         self.node.set_scheduler(None);
     }
 
-    /// Opens the scheduler. The book stays locked until it is in place: a record that is folded
-    /// meanwhile would be told to nobody, and its job would wait for the next leader.
+    /// Opens the scheduler and installs it in the node.
+    ///
+    /// The job table stays locked until then: a record applied in between would reach no scheduler,
+    /// and its job would wait for the next leader.
     fn install(&self, start: SchedulerStart, workers: Vec<WorkerEntry>) -> SchedulerStats {
         let now = start.now;
         let waves = self.node.waves();
@@ -233,7 +240,8 @@
         stats
     }
 
-    /// Shuts earlier leaders out of the log; answers with its end, or nothing if we are shut out.
+    /// Fences earlier leaders out of the job log by raising its epoch to this term. Returns the end
+    /// of the log, or `None` if a later leader has fenced this one.
     async fn raise_epoch(&self) -> Option<u64> {
         loop {
             match self.append(Vec::new(), 0).await {
@@ -243,7 +251,7 @@
                 }
                 AppendOutcome::Fenced => return None,
                 AppendOutcome::OutOfSequence => {
-                    // An earlier try was done.
+                    // An earlier try was stored.
                     *self.sequence() = 1;
                 }
                 AppendOutcome::EndMoved { .. }
@@ -281,7 +289,7 @@
         outcome
     }
 
-    /// Waits until the book has everything that leaders before us have written.
+    /// Reads the job log into the job table up to `end`, which covers all records of earlier leaders.
     async fn read_through(&self, end: u64) {
         let mut tail = TailReader::at(LogTopic::Jobs, self.node.book_end());
         while self.node.book_end() < end {
@@ -297,7 +305,8 @@
         }
     }
 
-    /// What workers say of themselves, and when the first page of it was asked for.
+    /// Reads all worker entries. Also returns the reader for the records that follow, and when the
+    /// first page was requested, in milliseconds.
     async fn first_workers(&self) -> (TailReader, Vec<WorkerEntry>, u64) {
         let mut tail = TailReader::new(LogTopic::Workers);
         let mut asked_ms = self.node.now();
@@ -316,7 +325,7 @@
         let decode = |(_, record): &(u64, KeyedRecord)| {
             let entry = (self.parts.worker_decoder)(record);
             if entry.is_none() && !record.value.is_empty() {
-                warn!(self.node.logger, "a worker's record can't be read"; "key" => &record.key);
+                warn!(self.node.logger, "worker record can't be decoded"; "key" => &record.key);
             }
             entry
         };
@@ -369,19 +378,19 @@
                     self.node.with_scheduler(|scheduler| scheduler.worker_seen(entry, now));
                 }
                 None => {
-                    warn!(self.node.logger, "a worker's record can't be read"; "key" => &record.key)
+                    warn!(self.node.logger, "worker record can't be decoded"; "key" => &record.key)
                 }
             }
         }
     }
 
-    /// Tells how commands get through.
+    /// Updates the metric of the command window, and logs the flow while commands wait.
     fn log_flow(&self) {
         let stats = self.lanes.flow().stats(self.node.now());
         let window = i64::try_from(stats.window).unwrap_or(i64::MAX);
         self.node.metrics.command_window.set(window);
         if stats.waiting > 0 {
-            info!(self.node.logger, "starts wait to be sent"; "window" => stats.window,
+            info!(self.node.logger, "starts are queued"; "window" => stats.window,
                 "under_way" => stats.in_flight, "waiting" => stats.waiting,
                 "line_ms" => stats.queue_delay_ms, "ended" => stats.ended);
         }
@@ -407,7 +416,7 @@
             let Some((actions, is_deposed, age_ms)) = tick_result else { return };
             load.record_confirmation_age(age_ms);
             if is_deposed {
-                info!(self.node.logger, "a higher term was seen"; "term" => self.term);
+                info!(self.node.logger, "higher term seen"; "term" => self.term);
                 return;
             }
             for action in actions {
@@ -419,7 +428,7 @@
             sleep(TICK_PAUSE).await;
             let commit = *self.pending_commit();
             load.record_wake(&self.node, paused_at.elapsed().saturating_sub(TICK_PAUSE), commit);
-            // No wake within the time is the usual case.
+            // A timeout without a wake-up is the usual case.
             let _ = timeout(TICK_INTERVAL_MAX, self.node.wake.notified()).await;
         }
     }
@@ -458,7 +467,7 @@
                 });
             }
             SchedulerAction::PublishWaveStatus(number, is_completed) => {
-                // The teller ends only once a later leader tells instead.
+                // The reporter ends only when a later leader has replaced it.
                 let _ = self.statuses.send((number, is_completed));
             }
             SchedulerAction::RequestPermits(step, workers) => {
@@ -489,7 +498,7 @@
         let asked_ms = self.node.now();
         let Some(vms) = self.parts.vms.list().await else {
             count(&self.node.metrics.vm_calls, "list_failed");
-            warn!(self.node.logger, "the list of VMs can't be had";
+            warn!(self.node.logger, "VM list not available";
                 "took_ms" => self.node.now().saturating_sub(asked_ms));
             return;
         };
@@ -502,7 +511,7 @@
         self.node.wake.notify_one();
     }
 
-    /// Commits what the scheduler has decided, one append at a time.
+    /// Commits the scheduler's decisions, one append at a time.
     async fn commit(self: Arc<Self>) {
         loop {
             let limit = self.parts.log.append_limit();
@@ -518,14 +527,15 @@
                 self.node.wake.notify_one();
                 return;
             }
-            // Changes of a job share a record: on a choked link a third of what goes out are records.
+            // Changes of one job in the same commit share a record. On a congested link a third of
+            // the outgoing data are records, so longer pauses save traffic there.
             let queue_delay =
                 Duration::from_millis(self.lanes.flow().stats(self.node.now()).queue_delay_ms);
             sleep(COMMIT_PAUSE + queue_delay.min(COMMIT_PAUSE_GROWTH_MAX)).await;
         }
     }
 
-    /// Appends until the log has the batch; false if a later leader has shut us out.
+    /// Appends the batch until the log has stored it; false if a later leader has fenced this one.
     async fn commit_batch(&self, batch: &CommitBatch) -> bool {
         let sequence = *self.sequence();
         if batch.records.is_empty() {
@@ -558,13 +568,13 @@
         }
     }
 
-    /// Tells of a commit that takes long.
+    /// Logs a commit that takes long.
     fn log_slow_commit(&self, batch: &CommitBatch, pending: PendingCommit) {
         let age_ms = self.node.now().saturating_sub(pending.begun_ms);
         if age_ms < SLOW_COMMIT_MS {
             return;
         }
-        info!(self.node.logger, "a commit waits for the log"; "bytes" => pending.bytes,
+        info!(self.node.logger, "slow commit to the log"; "bytes" => pending.bytes,
             "records" => batch.records.len(), "tries" => pending.tries, "age_ms" => age_ms,
             "room" => self.parts.log.append_limit());
     }
--- a/src/jobs/flow.rs
+++ b/src/jobs/flow.rs
@@ -1,7 +1,8 @@
-//! Commands to workers wait here until the window has room for them.
+//! Flow control for starts: each waits here until the command window has capacity for it.
 //!
-//! Renewals and stops do not wait: what they are late for is lost. They are few beside the starts, and
-//! a renewal waits longer at its worker while answers are slow ([`Scheduler::set_pace`]).
+//! Renewals and stops bypass the window, since what a late one was meant to save is lost. They are
+//! few compared with the starts, and a renewal waits longer at its worker while answers are slow
+//! ([`Scheduler::set_pace`]).
 //!
 //! [`Scheduler::set_pace`]: crate::scheduler::Scheduler::set_pace
 
@@ -14,35 +15,35 @@
 
 use crate::decide::window::CommandWindow;
 
-/// Time for which starts may stand in line, in milliseconds: what is placed sooner than it can be sent
-/// keeps room from tasks that are more urgent by then.
+/// Longest time that starts may queue, in milliseconds. A start that is placed long before it can
+/// be sent holds capacity that a more urgent task may need by then.
 const QUEUE_TIME_MAX_MS: u64 = 300;
-/// Starts that may stand in line however slow they go.
+/// Number of starts that may always queue, however slowly they are sent.
 const QUEUED_STARTS_MIN: u64 = 16;
-/// Time over which the rate of answers is counted, in milliseconds.
+/// Length of the interval in which ended commands are counted, in milliseconds.
 const RATE_INTERVAL_MS: u64 = 400;
 
-/// Where commands stand, for log lines and metrics.
+/// Counts of commands, for log lines and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowStats {
-    /// Commands that may be under way.
+    /// Commands that may be in flight.
     pub window: usize,
-    /// Commands that are.
+    /// Commands in flight.
     pub in_flight: usize,
-    /// Commands that wait.
+    /// Commands that wait for capacity in the window.
     pub waiting: usize,
-    /// Time that answers wait in a line of ours, in milliseconds.
+    /// Time that answers spend in queues of this process and its link, in milliseconds.
     pub queue_delay_ms: u64,
-    /// Commands that ended in the last whole span of 400 ms.
+    /// Commands that ended in the last complete interval of 400 ms.
     pub ended: u64,
 }
 
-/// How fast commands get through.
+/// Limits for the scheduler, derived from how fast commands are answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FlowPace {
-    /// Starts that may wait to be sent; none for any number.
+    /// Largest number of starts that may wait to be sent; `None` for no limit.
     pub starts_max: Option<usize>,
-    /// Time that answers wait in a line of ours, in milliseconds.
+    /// Time that answers spend in queues of this process and its link, in milliseconds.
     pub queue_delay_ms: u64,
 }
 
@@ -51,22 +52,23 @@
     window: CommandWindow,
     in_flight: usize,
     waiting: usize,
-    /// Answers in the last whole span, and in the present one.
+    /// Commands that ended in the last complete interval.
     last_rate: u64,
+    /// Commands that ended in the current interval.
     ended_count: u64,
     interval_start_ms: u64,
     /// When a command last had to wait, in milliseconds.
     last_full_ms: Option<u64>,
 }
 
-/// Holds commands back while as many are under way as get through.
+/// Holds commands back while the window is full.
 #[derive(Debug, Default)]
 pub struct CommandFlow {
     state: Mutex<FlowState>,
     capacity_freed: Notify,
 }
 
-/// One command under way.
+/// Permit for one command in flight; dropping it returns its capacity.
 #[derive(Debug)]
 pub struct FlowPermit<'a> {
     flow: &'a CommandFlow,
@@ -74,11 +76,12 @@
 }
 
 impl CommandFlow {
-    /// Waits for room.
+    /// Waits until the window has capacity for one more command. `now` gives the current time in
+    /// milliseconds.
     pub async fn acquire(&self, now: impl Fn() -> u64) -> FlowPermit<'_> {
         loop {
             let mut capacity_freed = pin!(self.capacity_freed.notified());
-            // In line before the look, or room that is made right after it would wake nobody.
+            // Registers before the check: capacity freed between the two would wake nobody.
             capacity_freed.as_mut().enable();
             {
                 let mut state = self.state();
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Takes room, if there is any and nobody waits for it.
+    /// Takes capacity if there is any and no other command waits for it.
     pub fn try_acquire(&self) -> Option<FlowPermit<'_>> {
         let mut state = self.state();
         if state.waiting > 0 || state.in_flight >= state.window.size() {
@@ -104,7 +107,7 @@
         Some(FlowPermit { flow: self, started: Instant::now() })
     }
 
-    /// How fast commands get through now.
+    /// Current limits for the scheduler.
     pub fn pace(&self, now: u64) -> FlowPace {
         let state = self.state();
         let is_full = state.last_full_ms.is_some_and(|full| now < full + RATE_INTERVAL_MS);
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Where commands stand.
+    /// Current counts.
     pub fn stats(&self, now: u64) -> FlowStats {
         let state = self.state();
         FlowStats {
@@ -151,7 +154,7 @@
 }
 
 impl FlowPermit<'_> {
-    /// Takes in that the command was answered or given up.
+    /// Records that the command was answered or given up.
     pub fn end(self, is_answered: bool, now: u64) {
         self.flow.record_end(self.started.elapsed(), is_answered, now);
     }
@@ -161,7 +164,7 @@
     fn drop(&mut self) {
         let mut state = self.flow.state();
         state.in_flight -= 1;
-        // The window may have grown as well.
+        // The window may have grown too, so more than one waiting command may fit.
         let free = state.window.size().saturating_sub(state.in_flight);
         let woken = free.min(state.waiting);
         drop(state);
--- a/src/jobs/leadership.rs
+++ b/src/jobs/leadership.rs
@@ -1,4 +1,7 @@
-//! Follows who leads, claims when nobody does, and renews while this entry leads.
+//! Control loop for leader election.
+//!
+//! Follows the leadership stream, claims the leadership when no entry holds it, and renews it while
+//! this entry leads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,40 +22,41 @@
 use crate::jobs::record::KeyedRecord;
 use crate::jobs::timeout_estimator::TimeoutEstimator;
 
-/// Longest time for an append to be answered; a slow log takes 300 ms.
+/// Largest timeout of an append; a slow log takes 300 ms.
 pub const APPEND_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause after a read or an append that failed.
+/// Delay after a failed read or append.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Pause of an entry without a copy of the job log between two reads: it can't lead, and every renewal would wake it.
+/// Pause between two reads of an entry without a replica of the job log. It can't lead, and without
+/// the pause every renewal of the leader would wake it.
 const NON_REPLICA_PAUSE: Duration = Duration::from_millis(900);
-/// Shortest and longest wait of one read.
+/// Shortest and longest wait of one read for new records.
 const READ_WAIT_MIN: Duration = Duration::from_millis(20);
 const READ_WAIT_MAX: Duration = Duration::from_millis(1_000);
 
-/// Follows and holds the leadership.
+/// Follows the leadership, and holds it once this entry is elected.
 pub struct LeadershipLoop<L, W, V, P> {
-    /// Shared state.
+    /// State shared by the loops of this entry.
     pub node: Arc<JobNode>,
-    /// What a leader works with.
+    /// Clients that a leader needs.
     pub parts: ConductorParts<L, W, V, P>,
-    /// This life of the process.
+    /// Identity of this incarnation of the process.
     pub own: HolderId,
-    /// What is known of the stream.
+    /// State of the stream, as far as it was read.
     pub view: LeadershipView,
-    /// Running while this entry leads.
+    /// The running leader, while this entry leads.
     pub conductor: Option<Conductor>,
-    /// Whether a claim or renewal had no answer: it may be done yet.
+    /// Whether a claim or renewal was not answered: it may still be stored.
     pub is_in_doubt: bool,
-    /// How long to wait for an append.
+    /// Estimates the timeout of an append.
     pub append_timeout: TimeoutEstimator,
-    /// A claim of ours that had no answer.
+    /// A claim of this entry that was not answered.
     pub pending: Option<PendingClaim>,
 }
 
-/// A claim that may be on the stream, or may be yet.
+/// A claim that may be on the stream, or may still be stored there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingClaim {
-    /// The leader before.
+    /// The previous leader at the time of the claim.
     pub predecessor: Option<PreviousLeader>,
 }
 
@@ -88,7 +92,7 @@
         }
         let now = self.node.now();
         let is_closed = self.node.leader_is_closed();
-        // A term of our own that has ended in itself leaves nobody to wait for.
+        // A term of this entry whose conductor has ended by itself leaves no leader to wait for.
         let claim_in = match self.view.is_held_by(&self.own) {
             true => Some(0),
             false => self.view.claim_in_ms(&self.own, is_closed, now),
@@ -110,10 +114,10 @@
         }
     }
 
-    /// Notes who keeps a copy of the job log, and whether this entry does.
+    /// Passes on which entries keep a replica of the job log, and whether this one does.
     fn record_replicas(&self) {
         let (address, now) = (self.node.settings.peer, self.node.now());
-        // An entry that has read nothing yet can't tell.
+        // Without a successful read the entry can't know, so the current state stays.
         let is_replica = self.conductor.is_some()
             || self.view.has_contact() && self.view.is_replica(&self.own, address, now)
             || !self.view.has_contact() && self.node.is_replica();
@@ -121,7 +125,7 @@
         self.node.set_append_ms(self.view.append_ms, self.view.seen_ms);
     }
 
-    /// Reads what was appended; false if the log can't be read.
+    /// Reads new records of the stream; false if the log can't be read.
     async fn read(&mut self, wait: Duration) -> bool {
         let sent_ms = self.node.now();
         let outcome = self.parts.log.read(LogTopic::Leadership, self.view.end, wait).await;
@@ -145,7 +149,7 @@
             }
             ReadOutcome::Refused | ReadOutcome::Unknown => {
                 if self.view.has_contact() {
-                    warn!(self.node.logger, "who leads can't be read"; "outcome" => ?outcome,
+                    warn!(self.node.logger, "leadership can't be read"; "outcome" => ?outcome,
                         "took_ms" => now.saturating_sub(sent_ms));
                 }
                 self.view.record_read_failure();
@@ -158,13 +162,13 @@
         match LeadershipRecord::decode(&record.value) {
             Some(record) => {
                 if record.act != LeadershipAct::Renew {
-                    info!(self.node.logger, "leadership"; "act" => ?record.act,
+                    info!(self.node.logger, "leadership record"; "act" => ?record.act,
                         "holder" => &*record.holder, "offset" => offset);
                 }
                 self.view.apply(offset, &record, now);
             }
             None => {
-                warn!(self.node.logger, "a leadership record can't be read"; "offset" => offset);
+                warn!(self.node.logger, "leadership record can't be decoded"; "offset" => offset);
                 self.view.end = self.view.end.max(offset + 1);
                 self.view.seen_ms = Some(now);
             }
@@ -218,7 +222,7 @@
                 self.start_leading(predecessor, sent_ms);
                 Duration::from_millis(RENEWAL_INTERVAL_MS)
             }
-            // Somebody was faster; what was appended tells who.
+            // Another entry was faster; its record says which.
             AppendOutcome::EndMoved { .. } => {
                 if self.read(Duration::ZERO).await {
                     Duration::ZERO
@@ -226,7 +230,7 @@
                     RETRY_DELAY
                 }
             }
-            // A claim that is done all the same is found by reading on.
+            // If the claim was stored nevertheless, a later read finds it.
             AppendOutcome::Unknown => {
                 self.is_in_doubt = true;
                 self.pending = Some(PendingClaim { predecessor });
@@ -239,11 +243,11 @@
         }
     }
 
-    /// The newest claim is ours, and its answer was lost. Left alone it would keep everybody from
-    /// leading until its silence is noticed.
+    /// Starts to lead by a claim whose answer was lost, if it is still the newest record.
     ///
-    /// It may have been read by others long ago, and one of them may be claiming by now. So a renewal
-    /// comes first: only if the stream still ends with ours do we begin.
+    /// Ignored, the claim would keep every entry from leading until its renewal timeout. Others may
+    /// have read it long ago, and one of them may be claiming by now. So this entry appends a
+    /// renewal first, and leads only if the stream still ended with its own record.
     async fn resume_claim(&mut self, pending: PendingClaim) -> Duration {
         let sent_ms = self.node.now();
         match self.append(LeadershipAct::Renew).await {
@@ -262,13 +266,13 @@
         }
     }
 
-    /// Begins to lead, by an append that was sent at `sent_ms`.
+    /// Starts to lead. The append that confirmed the leadership was sent at `sent_ms`.
     fn start_leading(&mut self, predecessor: Option<PreviousLeader>, sent_ms: u64) {
         self.pending = None;
         self.is_in_doubt = false;
         self.node.set_leader(None);
         *self.node.planner() = ReplicaPlanner::resume(self.view.replicas.clone(), self.node.now());
-        info!(self.node.logger, "leading"; "term" => self.view.term);
+        info!(self.node.logger, "started leading"; "term" => self.view.term);
         self.node.metrics.takeovers.inc();
         let (node, parts) = (self.node.clone(), self.parts.clone());
         let term = LeaderTerm { number: self.view.term, predecessor, confirmed_ms: sent_ms };
@@ -282,11 +286,11 @@
             return Duration::ZERO;
         }
         if self.node.is_stopping() {
-            // A successor commands the same VMs as soon as it has read the resignation.
+            // A successor sends commands to the same VMs as soon as it has read the resignation.
             if self.conductor.as_ref().is_some_and(Conductor::is_commanding_vms) {
                 return READ_WAIT_MIN;
             }
-            // Nothing may be commanded once the resignation can be read.
+            // No command may be sent once the resignation can be read.
             self.step_down("stopping");
             let outcome = self.append(LeadershipAct::Resign).await;
             info!(self.node.logger, "resigned"; "outcome" => ?outcome);
@@ -295,7 +299,7 @@
         let sent_ms = self.node.now();
         let outcome = self.append(LeadershipAct::Renew).await;
         if !matches!(outcome, AppendOutcome::Done { .. }) {
-            info!(self.node.logger, "a renewal of the leadership is not confirmed";
+            info!(self.node.logger, "leadership renewal not confirmed";
                 "outcome" => ?outcome, "took_ms" => self.node.now().saturating_sub(sent_ms));
         }
         match outcome {
@@ -316,7 +320,7 @@
         }
     }
 
-    /// A renewal may have been done: the stream tells.
+    /// Reads the stream to find out whether a renewal was stored.
     async fn resolve_renewal(&mut self) -> Duration {
         let end = self.view.end;
         if !self.read(Duration::ZERO).await {
@@ -343,7 +347,7 @@
     }
 
     fn step_down(&mut self, cause: &'static str) {
-        info!(self.node.logger, "not leading any more"; "term" => self.view.term, "cause" => cause);
+        info!(self.node.logger, "stopped leading"; "term" => self.view.term, "cause" => cause);
         if let Some(conductor) = self.conductor.take() {
             conductor.stop();
         }
