--- a/src/jobs/site.rs
+++ b/src/jobs/site.rs
@@ -118,7 +118,7 @@
 /// if workers restart under the same name and report that time; otherwise the name alone.
 pub fn incarnation_id(name: &str, started_ms: Option<u64>) -> Arc<str> {
     match started_ms {
-        Some(born) => format!("{name}{INCARNATION_SEPARATOR}{born}").into(),
+        Some(started) => format!("{name}{INCARNATION_SEPARATOR}{started}").into(),
         None => name.into(),
     }
 }
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -107,8 +107,8 @@
 
 /// Status of a job; `None` if this entry does not know it.
 pub fn job_status(node: &JobNode, id: JobId) -> Option<JobStatus> {
-    let book = node.book();
-    let job = book.get(id)?;
+    let table = node.book();
+    let job = table.get(id)?;
     let submission = job.submission.as_ref()?;
     let progress = job.progress.as_ref();
     let failures =
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -31,11 +31,11 @@
 #[test]
 fn specs_of_finished_jobs_are_removed_from_the_log() {
     let (_, newest) = finished_job();
-    let mut book = JobTable::default();
+    let mut table = JobTable::default();
     for (offset, record) in &newest {
-        book.fold(record, *offset);
+        table.fold(record, *offset);
     }
-    let logged = book.get(job_id(1)).expect("known");
+    let logged = table.get(job_id(1)).expect("known");
     assert_eq!(logged.state(), Some(JobState::Completed));
     let submission = logged.submission.as_ref().expect("kept");
     assert!(submission.has_no_spec());
--- a/tests/support/fakes.rs
+++ b/tests/support/fakes.rs
@@ -64,12 +64,12 @@
 
 /// Makes an entry the leader of term 2. Its predecessor was seen just now and has left these jobs
 /// in the log.
-pub fn succeed(node: &JobNode, book: &JobTable) {
+pub fn succeed(node: &JobNode, table: &JobTable) {
     let before = PreviousLeader { seen_ms: node.now(), end: PredecessorEnd::Unknown };
-    lead_from(node, book, 2, Some(before));
+    lead_from(node, table, 2, Some(before));
 }
 
-fn lead_from(node: &JobNode, book: &JobTable, term: u64, predecessor: Option<PreviousLeader>) {
+fn lead_from(node: &JobNode, table: &JobTable, term: u64, predecessor: Option<PreviousLeader>) {
     let start = SchedulerStart {
         term,
         bounds: bounds(),
@@ -81,7 +81,7 @@
         now: node.now(),
         wall_ms: node.clock.wall_ms(),
     };
-    node.set_scheduler(Some(Scheduler::open(start, book)));
+    node.set_scheduler(Some(Scheduler::open(start, table)));
 }
 
 /// How workers answer.
