--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -389,9 +389,9 @@
         if !permits.allowed.is_empty() && now + PERMIT_SLACK_MS < permits.expires_ms {
             return Some(Some(permits.allowed.keys().cloned().collect()));
         }
-        let is_requested = permits.asked_ms.is_some_and(|asked| now < asked + PERMIT_RETRY_MS);
+        let is_requested = permits.requested_ms.is_some_and(|asked| now < asked + PERMIT_RETRY_MS);
         if !is_requested && !pool.is_empty() {
-            permits.asked_ms = Some(now);
+            permits.requested_ms = Some(now);
             let candidates = pool.into_iter().take(PERMIT_WORKERS_MAX).collect();
             self.actions.push(SchedulerAction::RequestPermits(step.key, candidates));
         }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -125,23 +125,23 @@
 }
 
 impl FleetState {
-    /// Takes a list that was asked for at `asked_ms`; the workers that it names are those of `lives`.
+    /// Takes a list that was asked for at `requested_ms`; the workers that it names are those of `incarnations`.
     pub(crate) fn update_list(
         &mut self,
         vms: Vec<VmEntry>,
-        lives: &IncarnationTable,
-        asked_ms: u64,
+        incarnations: &IncarnationTable,
+        requested_ms: u64,
     ) {
         self.vm_by_worker.clear();
         self.vms.clear();
         for mut vm in vms {
-            vm.worker = lives.newest(&vm.worker).clone();
+            vm.worker = incarnations.newest(&vm.worker).clone();
             if !vm.worker.is_empty() {
                 self.vm_by_worker.insert(vm.worker.clone(), vm.vm.clone());
             }
             self.vms.insert(vm.vm.clone(), vm);
         }
-        self.list_as_of_ms = Some(asked_ms);
+        self.list_as_of_ms = Some(requested_ms);
     }
 
     /// A worker has begun anew under its name: the list names it as before.
@@ -271,8 +271,8 @@
             self.end_incarnation(&worker, IncarnationEnd::Moved, now);
             return;
         }
-        let is_other_life = !vm.worker.is_empty() && vm.worker != operation.worker;
-        if is_other_life && matches!(operation.command, VmCommand::Assign { .. }) {
+        let is_other_incarnation = !vm.worker.is_empty() && vm.worker != operation.worker;
+        if is_other_incarnation && matches!(operation.command, VmCommand::Assign { .. }) {
             operation.phase = OperationPhase::Draining;
         }
     }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -220,20 +220,20 @@
         })
     }
 
-    /// Whether one more task of a step may be away beside those others for which `is_away` holds.
-    fn is_within_budget(&self, key: &TaskKey, is_away: impl Fn(&TaskRun) -> bool) -> bool {
+    /// Whether one more task of a step may be away beside those others for which `is_down` holds.
+    fn is_within_budget(&self, key: &TaskKey, is_down: impl Fn(&TaskRun) -> bool) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(spec) = job.spec(key) else { return true };
         let Some(run) = job.occurrences.get(&key.occurrence) else { return true };
         let Some(step) = run.steps.get(usize::from(key.step)) else { return true };
         let is_other = |index: usize| u32::try_from(index).is_ok_and(|index| index != key.index);
-        let away = step
+        let down = step
             .tasks
             .iter()
             .enumerate()
-            .filter(|(index, task)| is_other(*index) && is_away(task))
+            .filter(|(index, task)| is_other(*index) && is_down(task))
             .count();
-        away < usize::try_from(spec.disruption_budget.max(1)).unwrap_or(1)
+        down < usize::try_from(spec.disruption_budget.max(1)).unwrap_or(1)
     }
 
     /// Whether one more VM of a wave may go down now.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -129,7 +129,7 @@
 struct StepPermits {
     allowed: HashMap<Arc<str>, Arc<str>>,
     expires_ms: u64,
-    asked_ms: Option<u64>,
+    requested_ms: Option<u64>,
 }
 
 /// The leader's state.
@@ -579,10 +579,10 @@
         }
     }
 
-    /// The VM list, as it was when it was asked for at `asked_ms`.
-    pub fn update_vms(&mut self, vms: Vec<VmEntry>, asked_ms: u64, now: u64) {
-        self.fleet.update_list(vms, &self.incarnations, asked_ms);
-        self.end_vanished_workers(asked_ms, now);
+    /// The VM list, as it was when it was asked for at `requested_ms`.
+    pub fn update_vms(&mut self, vms: Vec<VmEntry>, requested_ms: u64, now: u64) {
+        self.fleet.update_list(vms, &self.incarnations, requested_ms);
+        self.end_vanished_workers(requested_ms, now);
         self.needs_dispatch = true;
     }
 
@@ -594,7 +594,7 @@
     /// Permits of a step have come; none if there was no answer.
     pub fn update_permits(&mut self, step: StepKey, grant: Option<PermitGrant>, now: u64) {
         let permits = self.permits.entry(step).or_default();
-        permits.asked_ms = None;
+        permits.requested_ms = None;
         if let Some(grant) = grant {
             permits.expires_ms = now + grant.valid_ms;
             permits.allowed = grant.allowed.into_iter().collect();
--- a/src/scheduler/waits.rs
+++ b/src/scheduler/waits.rs
@@ -53,8 +53,8 @@
         self.waits.logged = kept.chain(due.iter().map(|(key, _)| (*key, now))).collect();
         self.waits.checked_ms = now;
         for (key, down_ms) in due {
-            if let Some(emit) = self.wait_event(&key, down_ms, down.len(), now) {
-                self.emit(emit);
+            if let Some(event) = self.wait_event(&key, down_ms, down.len(), now) {
+                self.emit(event);
             }
         }
     }
