--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -1,4 +1,4 @@
-//! What the scheduler wants done, and what it wants written down.
+//! Actions that the scheduler asks for, and events for the log of its decisions.
 
 use std::sync::Arc;
 
@@ -6,48 +6,50 @@
 use crate::jobs::ports::{RunCall, VmCommand, WorkerTarget};
 use crate::jobs::record::LossCount;
 
-/// What is to be done.
+/// Action to carry out for the scheduler.
 #[derive(Clone, Debug)]
 pub enum SchedulerAction {
-    /// Send the command that a run needs; see [`Scheduler::command`].
+    /// Send the command that a run needs; see
+    /// [`Scheduler::command`](crate::scheduler::Scheduler::command).
     SendCommand(WorkerTarget, TaskKey, u32),
-    /// Stop a run that is on no book.
+    /// Stop a run that the leader has no record of.
     StopUntracked(WorkerTarget, RunCall),
-    /// Let a run work at a share of its speed, in percent.
+    /// Limit a run to a share of its speed, in percent.
     Throttle(WorkerTarget, RunCall, u32),
-    /// Keep renewing the leases of a worker.
+    /// Start renewing the leases of a worker.
     StartRenewals(WorkerTarget),
-    /// Renew at once.
+    /// Renew a worker's leases at once.
     RenewNow(Arc<str>),
-    /// Drop every call to a worker's life that is under way: the next one goes by the same name.
+    /// Cancel every call to a worker's incarnation that is in flight: the next incarnation answers
+    /// to the same name.
     CancelCalls(Arc<str>),
-    /// Fetch the list of VMs.
+    /// Request the VM list.
     ListVms,
-    /// Command a VM, with this fencing token.
+    /// Send a command to a VM with this fencing token.
     CommandVm(VmCommand, u64),
-    /// Tell operators of a wave: its number, and whether it is complete.
+    /// Publish the status of a wave for operators: its number and whether it is complete.
     PublishWaveStatus(u64, bool),
-    /// Ask for placement permits.
+    /// Request placement permits of a step for these workers.
     RequestPermits(StepKey, Vec<Arc<str>>),
-    /// Log a decision.
+    /// Write an event to the log and the metrics.
     Event(SchedulerEvent),
 }
 
-/// By which way a record of a caller came to the leader.
+/// How a caller's record reached the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordSource {
-    /// From the entry that the caller asked, before the log has it.
+    /// From the entry that the caller asked, before the record was on the log.
     Relayed,
     /// Read from the log.
     Read,
-    /// From the book, when this leader took over.
+    /// From the job table, when this leader took over.
     Restored,
 }
 
-/// A decision worth a log line.
+/// Event that is written to the log.
 #[derive(Clone, Debug)]
 pub enum SchedulerEvent {
-    /// A run was given to a worker.
+    /// A run was placed on a worker.
     Placed {
         /// Task.
         task: TaskKey,
@@ -66,10 +68,10 @@
         run: u32,
         /// Worker.
         worker: Arc<str>,
-        /// How.
+        /// Cause of the end.
         how: &'static str,
     },
-    /// A run is over with its worker, or taken for over as nothing was heard of it.
+    /// A run was lost with its worker, or declared over because the worker was silent.
     Lost {
         /// Task.
         task: TaskKey,
@@ -77,46 +79,46 @@
         run: u32,
         /// Worker.
         worker: Arc<str>,
-        /// How it is known.
+        /// How the loss became known.
         how: &'static str,
-        /// Time for which the worker told of it, in milliseconds; nothing if it never did.
+        /// Time over which the worker reported the run, in milliseconds; `None` if it never did.
         at_work_ms: Option<u64>,
     },
-    /// A task has lost so many workers that it starts only while its pool is calm.
+    /// A task has lost so many workers that it starts only while its pool is stable.
     OnTrial {
         /// Task.
         task: TaskKey,
         /// Workers that it has lost.
         lost: u32,
     },
-    /// A task of a service ought to be at work and has not been for long.
+    /// A service task that should be at work has been away for long.
     ServiceAway {
         /// Task.
         task: TaskKey,
         /// Its latest run.
         run: u32,
-        /// Worker of that run, if it may be alive.
+        /// Worker of that run, if the run may be alive.
         worker: Option<Arc<str>>,
-        /// What it waits for.
+        /// Reason for which it waits.
         reason: &'static str,
         /// Time since it was last at work under this leader, in milliseconds.
         away_ms: u64,
-        /// Time for which it has waited in this state, in milliseconds.
+        /// Time spent in its current state, in milliseconds.
         waits_ms: u64,
-        /// Tries of its start that are under way.
+        /// Attempts to start it that are in flight.
         open_tries: u32,
-        /// Workers that were lost under it.
+        /// Workers that were lost while they ran it.
         losses: LossCount,
-        /// Tasks of services that are away for long.
+        /// Number of service tasks that have been away for long.
         all: usize,
     },
-    /// A job is given up, as a task of it crashes its workers.
+    /// A job was given up because one of its tasks crashes its workers.
     GivenUp {
         /// Task.
         task: TaskKey,
         /// Workers that it has lost.
         lost: u32,
-        /// Why it is the one.
+        /// Why this task is held responsible.
         reason: &'static str,
     },
     /// A start was refused.
@@ -127,12 +129,13 @@
         run: u32,
         /// Worker.
         worker: Arc<str>,
-        /// Why.
+        /// Reason.
         reason: &'static str,
-        /// Other tries of it whose outcome is not known yet.
+        /// Other attempts to start it whose outcome is not known yet.
         open_tries: u32,
     },
-    /// A worker lists a run that is on no book, while another run of its task is on one.
+    /// A worker lists a run that the leader has no record of, while it has a record of another run
+    /// of the task.
     SecondRun {
         /// Task.
         task: TaskKey,
@@ -140,7 +143,7 @@
         run: u32,
         /// Worker.
         worker: Arc<str>,
-        /// The run that is on the books.
+        /// The run that the leader has a record of.
         booked: u32,
     },
     /// A job's state changed.
@@ -149,21 +152,21 @@
         job: JobId,
         /// New state.
         state: JobState,
-        /// Time since it arrived, in milliseconds.
+        /// Time since the job arrived, in milliseconds.
         age_ms: u64,
     },
-    /// A cancellation is taken in.
+    /// A cancellation was applied.
     Cancelled {
         /// Job.
         job: JobId,
-        /// By which way it came.
+        /// How the cancellation reached the leader.
         source: RecordSource,
-        /// Whether the job is open, over, or not known yet.
+        /// State in which the job was found: open, over, or not known yet.
         found: &'static str,
         /// Age of the view of the jobs, in milliseconds.
         view_ms: u64,
     },
-    /// A worker lists a run for the first time after its job was over.
+    /// A worker listed a run for the first time after the run's job was over.
     StartedAfterEnd {
         /// Task.
         task: TaskKey,
@@ -174,21 +177,21 @@
         /// Time since the stop was decided, in milliseconds.
         since_ms: u64,
     },
-    /// Nothing is placed, as the job log has not been read for too long.
+    /// Placement is suspended because the job log has not been read for too long.
     ViewStale {
         /// Age of the view of the jobs, in milliseconds.
         view_ms: u64,
     },
-    /// What is believed of a worker changed.
+    /// The leader's view of a worker changed.
     Worker {
         /// Worker.
         worker: Arc<str>,
-        /// What.
+        /// Description of the change.
         change: &'static str,
-        /// Runs that it had.
+        /// Runs placed on it at that time.
         runs: usize,
     },
-    /// How a pool is doing, now and then.
+    /// Periodic summary of a pool.
     Pool {
         /// Pool.
         pool: Arc<str>,
@@ -196,25 +199,25 @@
         needed: usize,
         /// VMs that take work.
         usable: usize,
-        /// VMs of these on which nothing runs.
+        /// Usable VMs on which nothing runs.
         idle: usize,
-        /// Processor booked, in thousandths of that of the usable VMs.
+        /// Allocated processor, in thousandths of that of the usable VMs.
         booked: u64,
     },
-    /// A VM was commanded, or answered.
+    /// A command to a VM was planned, or its outcome is known.
     Vm {
         /// VM.
         vm: Arc<str>,
-        /// What.
+        /// Description of the change.
         change: String,
     },
-    /// Runs are stopped to make room or because they are not wanted any more.
+    /// A run is being stopped to free capacity or because it is not wanted any more.
     Stopped {
         /// Task.
         task: TaskKey,
         /// Run number.
         run: u32,
-        /// Why.
+        /// Reason.
         reason: &'static str,
     },
 }
--- a/src/scheduler/commit.rs
+++ b/src/scheduler/commit.rs
@@ -1,4 +1,4 @@
-//! What waits for the log: runs that may start and exits that may be forgotten once it has them.
+//! Changes that wait for the log, and the starts and acknowledgements of exits that they hold back.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,42 +11,45 @@
 use crate::scheduler::job::RunPhase;
 use crate::scheduler::{RecordSource, Scheduler};
 
-/// Jobs dropped in one commit, of three small records each.
+/// Jobs dropped in one commit; each takes three small records.
 const DROPS_MAX: usize = 500;
-/// Bytes that dropping a job takes, about.
+/// Approximate size of the records that drop a job, in bytes.
 const DROP_BYTES: usize = 128;
-/// Jobs whose specs are taken off the log in one commit.
+/// Jobs whose specs are removed from the log in one commit.
 const SPEC_REMOVALS_MAX: usize = 500;
-/// Part of a commit's room for the progress of jobs whose tasks are to start: it goes before all else.
+/// Share of a commit, as a divisor, for the progress of jobs whose tasks are about to start; it
+/// goes before everything else.
 const STARTS_DIVISOR: usize = 3;
-/// Part of it for records of other entries, whose callers wait; progress takes the rest.
+/// Share, as a divisor, for records of other entries, whose callers wait; progress takes the rest.
 const RELAYED_DIVISOR: usize = 2;
-/// Part of it that progress has at least, however large the records before it: exits wait for it.
+/// Least share, as a divisor, that progress gets however large the records before it are:
+/// acknowledgements of exits wait for it.
 const PROGRESS_DIVISOR: usize = 6;
-/// Part of a commit's room that what nobody waits for may take: all else would stand behind it.
+/// Largest share, as a divisor, of records that nobody waits for: everything else would queue
+/// behind them.
 const BACKGROUND_DIVISOR: usize = 8;
 
-/// Records for one append, and what it releases.
+/// Records for one append, and the starts and exits that it releases.
 #[derive(Clone, Debug, Default)]
 pub struct CommitBatch {
-    /// Records.
+    /// Encoded records, in the order in which they are appended.
     pub records: Vec<KeyedRecord>,
-    /// The same, as a reader of the log sees them.
+    /// The same records as a reader of the log decodes them.
     pub decoded: Vec<JobRecord>,
-    /// Batches of other entries that it carries.
+    /// Tokens of the relayed batches that are complete with this append.
     pub relayed: Vec<u64>,
     starts: Vec<(TaskKey, u32)>,
     exits: BTreeMap<Arc<str>, u64>,
 }
 
 impl CommitBatch {
-    /// Size of its records.
+    /// Size of the records with their keys, in bytes.
     pub fn bytes(&self) -> usize {
         self.records.iter().map(|record| record.key.len() + record.value.len()).sum()
     }
 }
 
-/// Jobs whose record has changed, in the order in which they did so.
+/// Jobs whose record has changed, in the order of their first change.
 #[derive(Debug, Default)]
 struct ChangedJobs {
     positions: BTreeMap<JobId, u64>,
@@ -68,7 +71,7 @@
         position.is_some_and(|position| self.order.remove(&position).is_some())
     }
 
-    /// The oldest change from a place on.
+    /// The oldest change at or after a position.
     fn next_from(&self, position: u64) -> Option<(u64, JobId)> {
         self.order.range(position..).next().map(|(at, job)| (*at, *job))
     }
@@ -81,23 +84,23 @@
         self.order.is_empty()
     }
 
-    /// Place of the oldest change.
+    /// Position of the oldest change; the next free one if there is none.
     fn oldest(&self) -> u64 {
         self.order.first_key_value().map_or(self.next, |(position, _)| *position)
     }
 }
 
-/// What has changed since the last commit was taken.
+/// Changes since the last commit was taken.
 #[derive(Debug, Default)]
 pub struct CommitQueue {
     jobs: ChangedJobs,
     starts: Vec<(TaskKey, u32)>,
     exits: BTreeMap<Arc<str>, u64>,
-    /// Exits that wait for the changes before a place.
+    /// Exits that wait until all changes before a position are in a commit.
     held_exits: VecDeque<(u64, BTreeMap<Arc<str>, u64>)>,
     drops: Vec<JobId>,
     tombstone_drops: Vec<(JobId, OrganisationDigest)>,
-    /// Jobs that are over and quiet, without their specs.
+    /// Jobs that are over and have no runs left, with their submissions stripped of the spec.
     spec_removals: VecDeque<(JobId, Arc<JobSubmission>)>,
     waves: BTreeMap<u64, BTreeSet<Arc<str>>>,
     losses: BTreeMap<Arc<str>, Vec<LostVm>>,
@@ -105,58 +108,60 @@
 }
 
 impl CommitQueue {
-    /// A job has changed.
+    /// Queues the progress record of a job that has changed.
     pub fn mark_changed(&mut self, job: JobId) {
         self.jobs.insert(job);
     }
 
-    /// A run may be started once its job's record is on the log.
+    /// Queues a start, to be released once its job's record is on the log.
     pub fn queue_start(&mut self, task: TaskKey, run: u32) {
         self.jobs.insert(task.job);
         self.starts.push((task, run));
     }
 
-    /// Runs that wait for the log.
+    /// Number of starts that wait for the log.
     pub fn pending_starts(&self) -> usize {
         self.starts.len()
     }
 
-    /// Exits of a worker through this number have been taken in.
+    /// Queues the acknowledgement of a worker's exits up to this number, which have been processed.
     pub fn queue_exits(&mut self, worker: Arc<str>, through: u64) {
         self.exits.insert(worker, through);
     }
 
-    /// A job is over for so long that the log need not keep it.
+    /// Queues the removal of a job that has been over for so long that the log need not keep it.
     pub fn drop_job(&mut self, job: JobId) {
         self.drops.push(job);
     }
 
-    /// A job that was about to be dropped was cancelled again: the record must not be dropped behind itself.
+    /// Takes back the removal of a job that was cancelled again: the drop would be appended after
+    /// the new cancellation.
     pub fn cancel_job_drop(&mut self, job: JobId) {
         self.drops.retain(|dropped| *dropped != job);
     }
 
-    /// The same for a cancellation by an entry that did not know the job.
+    /// Takes back the removal of a tombstone, that is a cancellation by an entry that did not know
+    /// the job.
     pub fn cancel_tombstone_drop(&mut self, job: JobId, mark: OrganisationDigest) {
         self.tombstone_drops.retain(|dropped| *dropped != (job, mark));
     }
 
-    /// A cancellation by an entry that did not know the job need not be kept.
+    /// Queues the removal of a tombstone.
     pub fn drop_tombstone(&mut self, job: JobId, mark: OrganisationDigest) {
         self.tombstone_drops.push((job, mark));
     }
 
-    /// VMs of a wave that have been maintained.
+    /// Queues the set of VMs of a wave that have been maintained.
     pub fn queue_wave(&mut self, number: u64, done: BTreeSet<Arc<str>>) {
         self.waves.insert(number, done);
     }
 
-    /// VMs of a pool that have lost their workers lately.
+    /// Queues the VMs of a pool that have lost their workers lately.
     pub fn queue_losses(&mut self, service: Arc<str>, lost: Vec<LostVm>) {
         self.losses.insert(service, lost);
     }
 
-    /// Jobs of which records of other entries wait.
+    /// Jobs with relayed records that are not in a commit yet.
     fn relayed_jobs(&self) -> BTreeSet<JobId> {
         let records = self.relayed.iter().flat_map(|(_, records)| records);
         records.filter_map(JobRecord::job).collect()
@@ -176,9 +181,9 @@
 }
 
 impl Scheduler {
-    /// Takes records that another entry has for the log. They go into the next append, together with
-    /// what is decided about them: a job is accepted and placed with one wait for the log, and the
-    /// log gets one append where each entry would make its own.
+    /// Applies records that another entry wants on the log. They go into the next append together
+    /// with the decisions about them: a job is accepted and placed with a single wait for the log,
+    /// and the log gets one append where each entry would make its own.
     pub fn relay(&mut self, token: u64, records: Vec<JobRecord>, now: u64) {
         for record in &records {
             self.apply_record_from(RecordSource::Relayed, record, now);
@@ -186,13 +191,14 @@
         self.commits.relayed.push_back((token, records.into()));
     }
 
-    /// The next append, of any size that the log takes.
+    /// Takes the next append, of any size that the log accepts.
     pub fn take_commit(&mut self) -> Option<CommitBatch> {
         self.take_commit_within(APPEND_BYTES_MAX)
     }
 
-    /// The next append, of `bytes_max` bytes and a record; nothing if the log has everything. The caller appends
-    /// it until it is done, in order, and then calls [`Scheduler::committed`].
+    /// Takes the next append, of `bytes_max` bytes and at most one record more; `None` if the log
+    /// has everything. The caller repeats the append until it succeeds, in order, and then calls
+    /// [`Scheduler::committed`].
     pub fn take_commit_within(&mut self, bytes_max: usize) -> Option<CommitBatch> {
         if self.is_deposed || self.commits.is_empty() {
             return None;
@@ -200,7 +206,8 @@
         let mut batch = CommitBatch::default();
         let mut bytes = self.take_starts(&mut batch, bytes_max / STARTS_DIVISOR);
         bytes += self.take_relayed(&mut batch, bytes_max / RELAYED_DIVISOR);
-        // A submission stands before the progress of its job, and no task may start before the log has the job.
+        // A submission must precede the progress of its job, and no task may start before the log
+        // has the job.
         let relayed = self.commits.relayed_jobs();
         let (mut position, mut changed) = (0, 0);
         while (bytes < bytes_max || changed < bytes_max / PROGRESS_DIVISOR)
@@ -220,7 +227,8 @@
             batch.records.extend(JobRecord::drop_records(job));
             batch.decoded.push(JobRecord::Dropped(job));
         }
-        // A job without its cancellation would run: its own keys go first.
+        // A job that is read without its cancellation would run, so the job's own keys are dropped
+        // first.
         let is_dropped = self.commits.drops.is_empty();
         let dropped =
             if is_dropped { self.commits.tombstone_drops.len().min(drops_max) } else { 0 };
@@ -242,7 +250,8 @@
         while let Some((service, lost)) = self.commits.losses.pop_first() {
             push_record(&mut batch, JobRecord::Losses(service, Arc::new(lost)));
         }
-        // Jobs that did not fit keep their starts back for the next append, and the exits that were taken in with them.
+        // Jobs that did not fit hold back their starts for the next append, and the exits that were
+        // processed along with them.
         let left = &self.commits.jobs;
         let (later, now): (Vec<_>, Vec<_>) =
             self.commits.starts.drain(..).partition(|(task, _)| left.contains(task.job));
@@ -261,7 +270,8 @@
         Some(batch)
     }
 
-    /// Progress of jobs whose starts wait for it, unless something that callers said of them is not on the log yet.
+    /// Takes the progress of jobs whose starts wait for it, unless relayed records of the job are
+    /// not in a commit yet.
     fn take_starts(&mut self, batch: &mut CommitBatch, bytes_max: usize) -> usize {
         let relayed = self.commits.relayed_jobs();
         let waiting: Vec<JobId> = self.commits.starts.iter().map(|(task, _)| task.job).collect();
@@ -277,7 +287,7 @@
         bytes
     }
 
-    /// Records of other entries; a batch that does not fit is told of with its last part.
+    /// Takes relayed records. The token of a batch that does not fit goes with its last part.
     fn take_relayed(&mut self, batch: &mut CommitBatch, bytes_max: usize) -> usize {
         let mut bytes = 0;
         while let Some((token, records)) = self.commits.relayed.front_mut() {
@@ -300,7 +310,7 @@
         push_record(batch, JobRecord::Progress(id, Arc::new(job.progress(self.term))))
     }
 
-    /// An append is on the log.
+    /// Handles that an append is on the log: releases its starts and acknowledges its exits.
     pub fn committed(&mut self, batch: &CommitBatch, now: u64) {
         for (task, run) in &batch.starts {
             self.release_start(task, *run, now);
@@ -330,10 +340,11 @@
         self.pending_commands.insert((*task, run));
     }
 
-    /// Drops jobs that are over and quiet from memory; the log has their last state.
+    /// Drops jobs that are over and have no runs left from memory; the log has their last state.
     ///
-    /// Their specs are taken off the log as well. They are nine tenths of what it keeps of a job: an entry
-    /// that restarts on a link of 2 Mbit/s would read for ten seconds and more what nobody needs.
+    /// Their specs are removed from the log as well. Specs are nine tenths of the data that the log
+    /// keeps of a job: an entry that restarts on a link of 2 Mbit/s would read useless data for ten
+    /// seconds and more.
     fn drop_finished(&mut self) {
         let changed = &self.commits.jobs;
         let spec_removals = &mut self.commits.spec_removals;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,9 +1,9 @@
-//! Which pool each VM serves, and the commands that bring it there.
+//! Assigns VMs to pools, and tracks the commands that move them.
 //!
-//! The load that this answers: the queues' demand rises and falls by turns, each asking several
-//! times its mean for some seconds. A VM takes a second or two to change pools, about the time that
-//! a job can wait, so pools follow the demand that is there, and idle VMs go to the standby pool,
-//! where they cost nothing. Only VMs on which nothing runs change pools: no work is thrown away.
+//! The queues' demand rises and falls by turns, and each asks several times its mean for some
+//! seconds. A VM takes a second or two to change pools, about as long as a job can wait. So pools
+//! follow the present demand, and idle VMs go to the standby pool, where they cost nothing. Only
+//! VMs on which nothing runs change pools: no work is thrown away.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -17,76 +17,80 @@
 use crate::scheduler::needs::{NeedKind, PoolNeed, has_shortage, take_idle_vm};
 use crate::scheduler::{Scheduler, SchedulerAction, SchedulerEvent};
 
-/// Time between two looks at the VM list while something is under way, in milliseconds.
+/// Interval between requests of the VM list while an operation or a wave is in progress, in
+/// milliseconds.
 const LIST_INTERVAL_BUSY_MS: u64 = 250;
-/// Time between two looks while nothing is, in milliseconds.
+/// Interval between requests of the VM list otherwise, in milliseconds.
 const LIST_INTERVAL_IDLE_MS: u64 = 2_000;
-/// Part of a link that the list may take: one in so many. At 2 Mbit/s a list of 130 VMs, asked for as often as on
-/// a wide link, takes 0.4 of it.
+/// Share of the link that lists may take, as a divisor. At 2 Mbit/s a list of 130 VMs, requested as
+/// often as on a wide link, takes 0.4 of the link.
 const LIST_LINK_DIVISOR: u64 = 8;
-/// Size of a VM in the list, in bytes.
+/// Size of a VM's entry in the list, in bytes.
 const LIST_ENTRY_BYTES: u64 = 185;
-/// Bytes of lists that are read in a millisecond at most: what a leader receives of them must not grow with the VMs.
+/// Most bytes of lists to read per millisecond: the traffic of lists at a leader must not grow with
+/// the number of VMs.
 const LIST_BYTES_PER_MS: u64 = 500;
-/// Longest rest between two lists, in milliseconds: VMs that were maintained are told by nothing else.
+/// Longest pause between two lists, in milliseconds: only a list shows that a VM is back from
+/// maintenance.
 const LIST_PAUSE_MAX_MS: u64 = 4_000;
-/// Age from which a VM list is not acted on, beyond the time for which lists rest, in milliseconds.
+/// Age from which a VM list is too old to act on, beyond the pause between lists, in milliseconds.
 const LIST_AGE_MAX_MS: u64 = 3_000;
-/// Time between two plans of the pools, in milliseconds.
+/// Interval between two plans of the pools, in milliseconds.
 const PLAN_INTERVAL_MS: u64 = 100;
-/// Time between two log lines about a pool, in milliseconds.
+/// Interval between two log lines about a pool, in milliseconds.
 const POOL_EVENT_INTERVAL_MS: u64 = 1_000;
 /// Time after which a command that was refused or not answered is sent again, in milliseconds.
 const COMMAND_RETRY_MS: u64 = 300;
-/// Time after which a command that was accepted and never showed is forgotten, in milliseconds.
+/// Time after which an accepted command that never showed in the list is forgotten, in
+/// milliseconds.
 const COMMAND_TIMEOUT_MS: u64 = 10_000;
-/// Time that a VM idles before it is given away, in milliseconds. A move there and back costs about
-/// as much as two seconds of a VM in a pool.
+/// Time that a VM idles before it leaves its pool, in milliseconds. A move to the standby pool and
+/// back costs about as much as two seconds of a VM in a pool.
 const IDLE_MIN_MS: u64 = 1_500;
-/// Part of the VMs that could be called for that may be on their way to the standby pool: one in so
-/// many.
+/// Share of the VMs that could be assigned to a pool that may be on their way to the standby pool
+/// at a time, as a divisor.
 const LEAVING_DIVISOR: usize = 2;
-/// VMs beyond its need from which a pool's services are moved together: one VM more than is needed
-/// keeps room for the next jobs.
+/// Surplus of VMs from which a pool's services are consolidated: one VM more than is needed leaves
+/// room for the next jobs.
 const CONSOLIDATE_SURPLUS: usize = 2;
-/// Where a command to a VM stands.
+/// Progress of an operation on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationPhase {
-    /// The VM is kept free of new work until it is empty.
+    /// The VM gets no new work and is not empty yet.
     Draining,
-    /// Sent; refused or not answered so far.
+    /// The command was sent, and was refused or not answered so far.
     Sent,
-    /// Accepted; the list has not shown the VM back yet.
+    /// The command was accepted; the list has not shown the VM back yet.
     Accepted,
 }
 
-/// Time that lists of so many VMs rest on a link of so many Mbit/s, in milliseconds.
+/// Pause between two lists of `vms` VMs on a link of `link` Mbit/s, in milliseconds.
 pub fn vm_list_pause_ms(vms: usize, link: u64) -> u64 {
     let bytes = u64::try_from(vms).unwrap_or(u64::MAX).saturating_mul(LIST_ENTRY_BYTES);
     let by_link = bytes.saturating_mul(8 * LIST_LINK_DIVISOR) / (link.max(1) * 1_000);
     by_link.max(bytes / LIST_BYTES_PER_MS).min(LIST_PAUSE_MAX_MS)
 }
 
-/// What is to become of a VM.
+/// A planned command to a VM and its progress.
 #[derive(Clone, Debug)]
 pub struct VmOperation {
-    /// Command.
+    /// The command.
     pub command: VmCommand,
-    /// Where it stands.
+    /// Its progress.
     pub phase: OperationPhase,
     /// When it entered the phase, in milliseconds.
     pub since_ms: u64,
-    /// Earliest time to send it (again), in milliseconds.
+    /// Earliest time to send it, or to send it again, in milliseconds.
     pub retry_ms: u64,
-    /// Worker that ran on the VM when it was first sent; empty for none. A later one can be the life
-    /// that the command itself has brought, if an answer was lost.
+    /// Worker that ran on the VM when the command was first sent; empty for none. A later worker
+    /// may be the incarnation that the command itself brought up, if its answer was lost.
     pub worker: Arc<str>,
-    /// Whether a try had no answer, so that it may be carried out any time.
+    /// Whether an attempt had no answer, so that the command may be carried out at any time.
     pub is_in_doubt: bool,
 }
 
 impl VmOperation {
-    /// Whether it takes the VM to this pool.
+    /// Whether it moves the VM to this pool.
     pub fn is_for_pool(&self, pool: &str) -> bool {
         matches!(&self.command, VmCommand::Assign { pool: to, .. } if &**to == pool)
     }
@@ -97,35 +101,36 @@
     }
 }
 
-/// VMs, what is to become of them, and the waves of maintenance.
+/// VMs, the operations on them, and the maintenance waves.
 #[derive(Debug, Default)]
 pub struct FleetState {
     /// VMs by name, as last listed.
     pub vms: BTreeMap<Arc<str>, VmEntry>,
-    /// When the list was asked for, in milliseconds.
+    /// Time at which the newest list was requested, in milliseconds; `None` before the first.
     pub list_as_of_ms: Option<u64>,
-    /// Whether a fresh list is wanted soon.
+    /// Whether a new list should be requested soon.
     pub is_list_wanted: bool,
-    /// What is to become of VMs.
+    /// Operations by VM.
     pub operations: BTreeMap<Arc<str>, VmOperation>,
-    /// Work that arrives, by pool.
+    /// Rate of arriving work, by pool.
     pub arrivals: BTreeMap<Arc<str>, ArrivalRate>,
     /// Waves by number.
     pub waves: BTreeMap<u64, WaveState>,
-    /// Pools whose services must leave VMs faster than one by one for a wave to be in time.
+    /// Pools whose services must leave several VMs at a time for a wave to finish in time.
     pub urgent_pools: BTreeSet<Arc<str>>,
     vm_by_worker: HashMap<Arc<str>, Arc<str>>,
     list_requested_ms: Option<u64>,
-    /// Earliest time at which the list is asked for again, in milliseconds.
+    /// Earliest time of the next request of the list, in milliseconds.
     list_pause_end_ms: u64,
-    /// Time for which lists rest, in milliseconds.
+    /// Pause between two lists, in milliseconds.
     list_pause_ms: u64,
     pools_planned_ms: u64,
     pools_reported_ms: u64,
 }
 
 impl FleetState {
-    /// Takes a list that was asked for at `requested_ms`; the workers that it names are those of `incarnations`.
+    /// Replaces the list by one that was requested at `requested_ms`. It names workers without their
+    /// incarnation; `incarnations` has the newest one of each.
     pub(crate) fn update_list(
         &mut self,
         vms: Vec<VmEntry>,
@@ -144,7 +149,7 @@
         self.list_as_of_ms = Some(requested_ms);
     }
 
-    /// A worker has begun anew under its name: the list names it as before.
+    /// Handles a restart of a worker under its name: its VM has the new incarnation now.
     pub(crate) fn rename_worker(&mut self, before: &str, id: &Arc<str>) {
         let Some(name) = self.vm_by_worker.remove(before) else { return };
         if let Some(vm) = self.vms.get_mut(&name) {
@@ -158,20 +163,20 @@
         self.vm_by_worker.insert(id.clone(), name);
     }
 
-    /// Takes a wave; one that is known keeps its progress.
+    /// Adds a wave; one that is known keeps its progress.
     pub fn add_wave(&mut self, wave: MaintenanceWave, done: BTreeSet<Arc<str>>, now: u64) {
         let known = self.waves.entry(wave.number).or_insert_with(|| WaveState::new(wave, now));
         known.done.extend(done);
     }
 
-    /// State of the VM of each worker that the list shows, by the worker's name; nothing before a first list.
+    /// State of the VM of each listed worker, by the worker's name; `None` before the first list.
     pub fn vm_states(&self) -> Option<HashMap<&str, VmState>> {
         self.list_as_of_ms?;
         let shown = self.vms.values().filter(|vm| !vm.worker.is_empty());
         Some(shown.map(|vm| (worker_name(&vm.worker), vm.state)).collect())
     }
 
-    /// The VM that a worker runs on.
+    /// The VM that a worker runs on; `None` if the list does not show it.
     pub fn vm_of(&self, worker: &str) -> Option<&VmEntry> {
         self.vms.get(self.vm_by_worker.get(worker)?)
     }
@@ -182,20 +187,21 @@
         self.waves.values().any(|wave| wave.is_due(vm))
     }
 
-    /// VMs with a command to move them into a pool that the list does not show there yet.
+    /// Number of VMs with an operation that moves them to a pool and that the list does not show
+    /// there yet.
     pub(crate) fn arriving(&self, pool: &str) -> usize {
         self.operations.values().filter(|operation| operation.is_for_pool(pool)).count()
     }
 }
 
 impl Scheduler {
-    /// The list that was just taken rests for this time, in milliseconds.
+    /// Sets how long to pause after the list that was just received, in milliseconds.
     pub fn pause_vm_list(&mut self, list_pause_ms: u64, now: u64) {
         self.fleet.list_pause_ms = list_pause_ms;
         self.fleet.list_pause_end_ms = now + list_pause_ms;
     }
 
-    /// Looks after the VM list, the commands under way, the waves and the pools.
+    /// Advances everything about VMs: the list, the operations in progress, the waves and the pools.
     pub(crate) fn plan_fleet(&mut self, now: u64) {
         self.request_list(now);
         self.advance_operations(now);
@@ -229,7 +235,7 @@
         }
     }
 
-    /// Workers of VMs with a command take no new work.
+    /// Reserves the workers of VMs with an operation: they get no new work.
     fn reserve_workers(&mut self) {
         let reserved: BTreeSet<Arc<str>> = self
             .fleet
@@ -253,11 +259,11 @@
         }
     }
 
-    /// Looks whether the VM list, asked for after a command was sent, shows what became of it.
+    /// Checks whether a VM list requested after the command was sent shows its effect.
     ///
-    /// Where the VM service takes seconds to answer, the VM is at work in its new pool before any answer
-    /// has come. And a VM that crashed meanwhile may have work again: the command is held back until it
-    /// is empty, as for the first time.
+    /// Where the VM service takes seconds to answer, the VM is at work in its new pool before any
+    /// answer has come. A VM that crashed in the meantime may have work again: the command is then
+    /// held back until the VM is empty, as at first.
     fn reconcile_with_list(&mut self, name: &Arc<str>, now: u64) {
         let list_as_of_ms = self.fleet.list_as_of_ms.unwrap_or(0);
         let Some(vm) = self.fleet.vms.get(name) else { return };
@@ -289,8 +295,8 @@
         let Some(operation) = self.fleet.operations.get_mut(name) else { return };
         match operation.phase {
             OperationPhase::Accepted => {
-                // A VM that is off has no worker by which it could be told that it was down; the list was
-                // asked for after the command had begun, and would show it so.
+                // A VM that is off has no worker whose change would show that it was down. The list
+                // was requested after the command had begun, and would show the VM down.
                 let is_back = vm.state == VmState::Up
                     && list_as_of_ms > operation.since_ms
                     && (vm.worker != operation.worker || vm.worker.is_empty());
@@ -316,7 +322,7 @@
                     operation.since_ms = now;
                     operation.worker = vm.worker.clone();
                 }
-                // No answer by then counts as one that is lost.
+                // An answer that has not come by then counts as lost.
                 operation.retry_ms = now + COMMAND_TIMEOUT_MS;
                 let command = operation.command.clone();
                 self.actions.push(SchedulerAction::CommandVm(command, fence));
@@ -324,14 +330,14 @@
         }
     }
 
-    /// Whether nothing runs on a worker and the log has all that ended there.
+    /// Whether nothing runs on a worker and the log has all of its exits.
     pub(crate) fn is_drained(&self, worker: &str) -> bool {
         self.workers.get(worker).is_none_or(|worker| {
             worker.runs.is_empty() && worker.exits_committed >= worker.exits_seen
         })
     }
 
-    /// A command to a VM was answered, or not.
+    /// Handles the outcome of a command to a VM.
     pub fn vm_commanded(&mut self, command: &VmCommand, outcome: VmOutcome, now: u64) {
         let name = command.vm().clone();
         let change = format!("{command:?}: {outcome:?}");
@@ -356,8 +362,8 @@
                 self.end_incarnation(&worker, IncarnationEnd::Commanded, now);
             }
             VmOutcome::Unknown => {
-                // It may be carried out any time and end what runs there by then; the VM stays
-                // reserved until the same command, which is idempotent, was accepted.
+                // The command may be carried out at any time and end the runs on the VM. The VM
+                // stays reserved until the same command, which is idempotent, was accepted.
                 operation.is_in_doubt = true;
                 operation.retry_ms = now + COMMAND_RETRY_MS;
             }
@@ -376,7 +382,7 @@
         }
     }
 
-    /// Plans a command for a VM.
+    /// Plans a command for a VM and reserves its worker.
     pub(crate) fn plan_operation(&mut self, command: VmCommand, now: u64) {
         let vm = command.vm().clone();
         let change = format!("{command:?}: planned");
@@ -400,7 +406,7 @@
         let standby: Option<Arc<str>> =
             self.config.pools.iter().find(|pool| pool.is_standby).map(|pool| pool.name.clone());
         let mut spare = self.standby_vms();
-        // Work that waits goes before work that is expected, in every pool.
+        // Waiting work precedes expected work, in every pool.
         for kind in [NeedKind::Now, NeedKind::Soon] {
             let short: Vec<(Arc<str>, usize)> =
                 needs.iter().map(|(pool, need)| (pool.clone(), need.shortage(kind))).collect();
@@ -420,8 +426,8 @@
         self.consolidate_services(&needs, &standby, now);
         let surplus = |need: &PoolNeed| need.surplus(NeedKind::Soon).min(need.idle.len());
         let idle: usize = needs.values().map(surplus).sum();
-        // A VM on its way to the standby pool can't be called for, and the next queue's turn may
-        // begin any moment: only a part of what could be called for is under way at a time.
+        // A VM on its way to the standby pool can't be assigned elsewhere, and the next queue's
+        // burst may begin at any moment. So only a part of the available VMs leaves at a time.
         let available = idle + spare.len();
         let leaving = self.fleet.arriving(&standby);
         let mut allowed = (available / LEAVING_DIVISOR).max(1).saturating_sub(leaving);
@@ -456,7 +462,7 @@
         }
     }
 
-    /// Gives up emptying VMs of pools that want them again.
+    /// Cancels the draining of VMs for the standby pool where their pool needs them again.
     fn cancel_unneeded_moves(&mut self, needs: &BTreeMap<Arc<str>, PoolNeed>, standby: &str) {
         let is_wanted = |vm: &Arc<str>| {
             let pool = self.fleet.vms.get(vm).map(|vm| &vm.pool);
@@ -477,8 +483,8 @@
         }
     }
 
-    /// After a burst services are left on more VMs than they need. One VM a pool at a time is emptied,
-    /// that with the fewest of them, where nothing else runs.
+    /// Consolidates services, which a burst leaves on more VMs than they need. One VM per pool at a
+    /// time is drained: the one with the fewest services among those with nothing else.
     fn consolidate_services(
         &mut self,
         needs: &BTreeMap<Arc<str>, PoolNeed>,
@@ -512,7 +518,7 @@
         }
     }
 
-    /// VMs of standby pools that can be lent, those first that are not due for maintenance.
+    /// Available VMs of standby pools; those due for maintenance come first, and are taken last.
     fn standby_vms(&self) -> Vec<Arc<str>> {
         let is_standby = |pool: &str| self.config.pool(pool).is_some_and(|pool| pool.is_standby);
         let mut vms: Vec<(bool, Arc<str>)> = self
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,8 +1,9 @@
-//! Waves of maintenance: each VM once, no more at a time than the wave allows, in time.
+//! Maintenance waves: each VM is maintained once, no more at a time than the wave allows, and in
+//! time.
 //!
-//! VMs that are off or empty go first, as that costs nothing. Others are kept free of new work until
-//! they are empty. Service tasks are moved within their disruption budget, and only when the wave
-//! would be late otherwise.
+//! VMs that are off or empty go first, as that costs nothing. Others get no new work until they are
+//! empty. Service tasks are moved within their disruption budget, and off several VMs of a pool at
+//! a time only where the wave would be late otherwise.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,35 +15,36 @@
 use crate::scheduler::job::{LiveRun, TaskRun};
 use crate::scheduler::{Scheduler, SchedulerAction};
 
-/// Time that a VM takes beside the maintenance itself, in milliseconds: it is emptied, listed, and
+/// Time that a VM takes beside the maintenance itself, in milliseconds: it is drained, listed, and
 /// its worker reports itself.
 const OVERHEAD_MS: u64 = 1_200;
-/// Share of the time left, in percent, in which a wave plans to be done; the rest is for failures.
+/// Share of the remaining time in which a wave plans to finish, in percent; the rest is for
+/// failures.
 const PLANNED_TIME_PERCENT: u64 = 70;
 
-/// Time after the stop of a service task until it is at work elsewhere and that is known, in
-/// milliseconds: a start, its startup of about a second, and a report.
+/// Time from the stop of a service task until it is known to be at work elsewhere, in milliseconds:
+/// a start, its startup of about a second, and a report.
 const SERVICE_RESTART_MS: u64 = 1_300;
-/// Part of a pool's VMs that may be emptied of services at a time: one in so many, as they take no
-/// other work meanwhile.
+/// Share of a pool's VMs that may be drained of services at a time, as a divisor: they get no other
+/// work meanwhile.
 const DRAINING_DIVISOR: usize = 4;
 
-/// A wave under way.
+/// A wave and its progress.
 #[derive(Clone, Debug)]
 pub struct WaveState {
-    /// What is asked.
+    /// The wave as operators configured it.
     pub wave: MaintenanceWave,
     /// VMs whose maintenance has begun or is over.
     pub done: BTreeSet<Arc<str>>,
     /// When it was first seen, in milliseconds.
     pub since_ms: u64,
-    /// Whether operators were told that it is complete.
+    /// Whether its completion was published to operators.
     pub is_completed: bool,
     is_announced: bool,
 }
 
 impl WaveState {
-    /// A wave that is seen now.
+    /// A new wave, first seen at `now`.
     pub fn new(wave: MaintenanceWave, now: u64) -> WaveState {
         WaveState {
             wave,
@@ -59,12 +61,12 @@
     }
 }
 
-/// How much it takes to get a VM ready for maintenance.
+/// Cost of preparing a VM for maintenance, cheapest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DrainCost {
-    /// Off, or nothing runs on it.
+    /// The VM is off or nothing runs on it.
     Nothing,
-    /// What runs on it ends by itself soon.
+    /// Its runs end by themselves soon.
     Wait,
     /// Services have to be moved.
     Evict,
@@ -73,8 +75,8 @@
 impl Scheduler {
     /// Commands or prepares the next VMs of each wave.
     ///
-    /// While work waits for VMs (`is_scarce`), a wave takes no more of them at a time than it needs to
-    /// be in time: a VM that is maintained in a burst is missed there.
+    /// While work waits for VMs (`is_scarce`), a wave takes no more VMs at a time than it needs to
+    /// finish in time: every VM under maintenance is missing in the burst.
     pub(crate) fn plan_waves(&mut self, is_scarce: bool, now: u64) {
         let numbers: Vec<u64> = self
             .fleet
@@ -134,10 +136,10 @@
         }
     }
 
-    /// Begins to empty VMs with services from the first moment of the wave: budgets let the tasks of a
-    /// step go a few at a time, which takes longest of all. As many VMs a pool are emptied at a time as
-    /// budgets let their tasks be away together; one by one, each would wait for the slowest task of the
-    /// one before.
+    /// Starts to drain VMs with services as soon as the wave begins: budgets let the tasks of a
+    /// step move only a few at a time, which takes longest of all. In each pool as many VMs are
+    /// drained at a time as budgets let their tasks be down together; one by one, each would wait
+    /// for the slowest task of the one before.
     fn drain_service_vms(
         &mut self,
         number: u64,
@@ -152,7 +154,8 @@
                 false => 1,
             };
             let count = draining.entry(pool).or_insert(0);
-            // One VM waits for its budgets where it is: a task that stays away must not hold the wave up.
+            // One VM of a pool is reserved even before its budgets allow it to be drained: a task
+            // that stays down must not hold up the wave.
             if *count < most && (*count == 0 || self.are_budgets_kept(vm)) {
                 *count += 1;
                 self.plan_operation(VmCommand::Maintain { vm: vm.clone(), wave: number }, now);
@@ -160,9 +163,9 @@
         }
     }
 
-    /// Finds the pools in which a wave would be late if their VMs were emptied of services one by one.
-    /// Only there is it worth VMs beyond the need, and work that is displaced: on sites of 50 VMs both
-    /// cost more than the wave's delay, up to 0.8% of what callers are owed.
+    /// Finds the pools in which a wave would be late if their VMs were drained of services one by
+    /// one. Only there it is worth the additional VMs and the preempted work: on sites of 50 VMs
+    /// both cost more than the wave's delay, up to 0.8% of the value owed to callers.
     fn find_urgent_pools(&mut self, deadline: u64, now: u64) {
         let left_ms = deadline.saturating_sub(now) * PLANNED_TIME_PERCENT / 100;
         let each_ms = self.bounds.stop_ms + SERVICE_RESTART_MS;
@@ -175,7 +178,7 @@
         self.fleet.urgent_pools.extend(late);
     }
 
-    /// VMs of a pool that have services and are still to be maintained.
+    /// Number of a pool's VMs that have services and are still to be maintained.
     fn due_service_vms(&self, pool: &str) -> usize {
         self.workers
             .iter()
@@ -185,7 +188,7 @@
             .count()
     }
 
-    /// VMs of each pool that are being emptied for a wave.
+    /// Number of VMs of each pool that are being drained for a wave.
     fn draining_by_pool(&self, number: u64) -> BTreeMap<Arc<str>, usize> {
         let mut draining = BTreeMap::new();
         for (vm, operation) in &self.fleet.operations {
@@ -203,8 +206,8 @@
         self.workers.values().filter(|worker| worker.entry.service == *pool).count()
     }
 
-    /// Whether budgets let the services of a VM be away together with those that are away already or
-    /// stand on VMs that are being emptied.
+    /// Whether the budgets allow the services of a VM to be down together with those that are down
+    /// already or are on VMs that are being drained.
     fn are_budgets_kept(&self, vm: &Arc<str>) -> bool {
         let worker = self.fleet.vms.get(vm).and_then(|vm| self.workers.get(&vm.worker));
         let Some(worker) = worker else { return false };
@@ -220,7 +223,8 @@
         })
     }
 
-    /// Whether one more task of a step may be away beside those others for which `is_down` holds.
+    /// Whether one more task of a step may be down, besides the other tasks for which `is_down`
+    /// holds.
     fn is_within_budget(&self, key: &TaskKey, is_down: impl Fn(&TaskRun) -> bool) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(spec) = job.spec(key) else { return true };
@@ -242,7 +246,7 @@
         self.vms_down(number) < limit
     }
 
-    /// VMs of a wave that are down for it, or will be any moment.
+    /// Number of VMs of a wave that are down for it, or will be at any moment.
     fn vms_down(&self, number: u64) -> usize {
         let Some(run) = self.fleet.waves.get(&number) else { return 0 };
         run.wave
@@ -259,7 +263,8 @@
             .count()
     }
 
-    /// VMs of a wave that are down or kept for it, without those whose services are being moved.
+    /// Number of VMs of a wave that are down or reserved for it, without those whose services are
+    /// being moved.
     fn planned_vms(&self, number: u64) -> usize {
         let has_service = |operation: &VmOperation| {
             let worker = self.workers.get(&operation.worker);
@@ -277,7 +282,7 @@
         self.vms_down(number) + kept
     }
 
-    /// VMs that must be maintained at a time for the wave to be in time.
+    /// Number of VMs that must be maintained at a time for the wave to finish in time.
     fn wanted_parallel(&self, left: usize, deadline: u64, now: u64) -> usize {
         let each_ms = self.bounds.maintenance_ms + OVERHEAD_MS;
         let left_ms = deadline.saturating_sub(now) * PLANNED_TIME_PERCENT / 100;
@@ -288,7 +293,7 @@
         }
     }
 
-    /// What it takes to empty a VM, and how loaded it is; nothing if it can't be commanded now.
+    /// Cost of draining a VM, and its load; `None` if it can't be commanded now.
     fn drain_cost(&self, name: &Arc<str>, now: u64) -> Option<(DrainCost, u64)> {
         let vm = self.fleet.vms.get(name)?;
         if vm.state != VmState::Up {
@@ -302,7 +307,7 @@
         }
         let load = worker.used().dominant_share_of(&worker.entry.capacity);
         if worker.runs.is_empty() {
-            // One that has just been given to a pool is about to be used.
+            // A VM that has just been assigned to a pool is about to be used.
             let is_wanted = now < worker.idle_since_ms + 300;
             return Some((DrainCost::Nothing, u64::from(is_wanted)));
         }
@@ -311,7 +316,7 @@
         Some((cost, load))
     }
 
-    /// Moves services off VMs that are being emptied, as their budgets allow.
+    /// Moves services off VMs that are being drained, as their budgets allow.
     pub(crate) fn evict_services(&mut self, now: u64) {
         if self.is_lagging(now) {
             return;
@@ -335,14 +340,14 @@
         }
     }
 
-    /// Whether a service task may be ended now: at most as many of its step are away as its budget
-    /// allows, this one included.
+    /// Whether a service task may be stopped now: with it, no more tasks of its step are down than
+    /// its budget allows.
     pub(crate) fn may_evict(&self, key: &TaskKey) -> bool {
         self.is_within_budget(key, |task| !self.is_known_at_work(task))
     }
 
-    /// Whether a service task is at work on a worker that answers. One that doesn't may have ended what it
-    /// ran: counted as at work, another task would be stopped beside it.
+    /// Whether a service task is at work on a worker that answers. A silent worker may have ended
+    /// its runs: if such a task counted as at work, another one could be stopped while it is down.
     fn is_known_at_work(&self, task: &TaskRun) -> bool {
         let answers = |live: &LiveRun| {
             self.workers.get(&live.worker).is_some_and(|worker| worker.silent_since_ms.is_none())
@@ -350,14 +355,14 @@
         task.is_serving() && task.live.iter().any(answers)
     }
 
-    /// A VM's maintenance has begun or is over.
+    /// Records that a VM's maintenance has begun or is over.
     pub(crate) fn mark_maintained(&mut self, number: u64, vm: &Arc<str>) {
         let Some(run) = self.fleet.waves.get_mut(&number) else { return };
         run.done.insert(vm.clone());
         self.commits.queue_wave(number, run.done.clone());
     }
 
-    /// The platform says that a VM does not belong to the wave.
+    /// Removes a VM from a wave: the platform says that it does not belong to it.
     pub(crate) fn remove_from_wave(&mut self, number: u64, vm: &Arc<str>) {
         if let Some(run) = self.fleet.waves.get_mut(&number) {
             run.wave.vms.retain(|other| other != vm);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,15 +1,15 @@
 //! The leader's decisions about jobs, workers and VMs, as one state machine without I/O.
 //!
-//! Facts come in through methods that take the time as an argument; what is to be done about them
-//! is collected as [`SchedulerAction`]s and as [`CommitBatch`]es for the log. Three rules hold the
-//! rest together:
+//! Inputs arrive through methods that take the time as an argument. Outputs are collected as
+//! [`SchedulerAction`]s and as [`CommitBatch`](commit::CommitBatch)es for the log. Three invariants
+//! hold:
 //!
 //! * A run is written to the log before its start is sent. A new leader therefore knows every run
 //!   that may be alive, and on which worker.
-//! * A worker's exit is acknowledged to it only once its effect is on the log. Until then the worker
-//!   lists it again, whoever leads.
-//! * A task is started again only when its earlier run is known to be over: it is listed as ended,
-//!   the life of its worker is over, or every lease that the worker can have has run out.
+//! * A worker's exit is acknowledged to the worker only once its effect is on the log. Until then
+//!   the worker lists the exit again to whoever leads.
+//! * A task is started again only when its earlier run is known to be over: the worker lists its
+//!   exit, the worker's incarnation is over, or every lease that the worker can have has expired.
 
 pub(crate) mod abandoned;
 pub mod action;
@@ -68,45 +68,47 @@
 use crate::scheduler::waits::WaitLog;
 use crate::scheduler::worker::WorkerState;
 
-/// Fencing tokens that one term may use: room for a leader to raise its own.
+/// Fencing tokens that one term may use, so that a leader can raise its own.
 pub const FENCING_TOKENS_PER_TERM: u64 = 1 << 10;
-/// Time without a confirmation of our leadership after which no lease is extended and nothing is
-/// started, in milliseconds. A successor waits it out before it takes runs on workers that it can't
-/// reach for dead; three renewals of the leadership fit in.
+/// Time without a confirmation of the leadership after which the leader extends no lease and starts
+/// nothing, in milliseconds. A successor waits this long before it declares runs on unreachable
+/// workers dead. It is long enough for three renewals of the leadership.
 pub const CONFIRMATION_TIMEOUT_MS: u64 = 1_600;
-/// Time without a confirmation after which no VM is commanded, in milliseconds: a renewal, and a slow
-/// log's answer to it. With the life of a command it ends before others may claim, so that no takeover
-/// after a silence has to wait for it.
+/// Time without a confirmation after which the leader commands no VM, in milliseconds: one renewal
+/// and a slow log's answer to it. Together with the lifetime of a command it ends before others may
+/// claim the leadership, so a takeover after silence never has to wait for VM commands.
 pub const VM_CONFIRMATION_TIMEOUT_MS: u64 = 800;
-/// Time after its last confirmation at which no command of a leader to a VM can be carried out any more,
-/// in milliseconds.
+/// Time after a leader's last confirmation from which none of its commands to VMs can still be
+/// carried out, in milliseconds.
 pub const VM_COMMAND_LIFETIME_MS: u64 = VM_CONFIRMATION_TIMEOUT_MS + VM_COMMAND_TIMEOUT_MS;
-/// Time for which a late answer shows that we are behind, in milliseconds.
+/// Time for which a late answer counts as a sign that the leader lags, in milliseconds.
 const LATE_AGE_MS: u64 = 2_000;
-/// Workers with late answers that show it: so many, and one in so many; a few can be slow themselves.
+/// The leader lags if at least this many workers answered late, and one in `LATE_WORKERS_DIVISOR`:
+/// a few workers can be slow themselves.
 const LATE_WORKERS_MIN: usize = 3;
 const LATE_WORKERS_DIVISOR: usize = 16;
-/// What is left of the time until nothing of a cancelled job may start, in milliseconds: a worker takes a while from
-/// its look at the clock to the start.
+/// Margin before the time from which nothing of a cancelled job may start, in milliseconds: a
+/// worker takes a while from reading its clock to starting the run.
 const START_MARGIN_MS: u64 = 100;
-/// What a lease is shorter than the longest one, in milliseconds: a command may be under way.
+/// Margin by which a lease is shorter than the longest one, in milliseconds: a command may be in
+/// flight.
 pub(crate) const LEASE_SLACK_MS: u64 = 200;
 
-/// What a leader starts from.
+/// State from which a new leader starts.
 pub struct SchedulerStart {
     /// Term of this leader.
     pub term: u64,
-    /// Promised times.
+    /// Time bounds that the site promises.
     pub bounds: SiteBounds,
     /// Configuration in force.
     pub config: Arc<SiteConfig>,
-    /// The leader before, as last seen.
+    /// The previous leader, as last seen.
     pub predecessor: Option<PreviousLeader>,
     /// When the newest confirmation of this leadership was sent, in milliseconds.
     pub confirmed_ms: u64,
-    /// When the job log held no more than the book has, in milliseconds.
+    /// Time up to which the given job table reflects the job log, in milliseconds.
     pub jobs_read_ms: u64,
-    /// When what workers say of themselves was asked for, in milliseconds.
+    /// Time up to which the workers' reports of themselves have been read, in milliseconds.
     pub workers_read_ms: u64,
     /// Now, in milliseconds of the steady clock.
     pub now: u64,
@@ -114,17 +116,19 @@
     pub wall_ms: u64,
 }
 
-/// When the last command of a leader to a VM has been carried out or never will, in milliseconds.
+/// Time from which no command of a previous leader to a VM can still be carried out, in
+/// milliseconds.
 fn predecessor_vm_bound_ms(leader: PreviousLeader) -> u64 {
     match leader.end {
         PredecessorEnd::Unknown => leader.seen_ms + VM_COMMAND_LIFETIME_MS,
         PredecessorEnd::Resigned => 0,
-        // Our clock began after it had ended; the service may still be at work on what it had sent.
+        // This process's clock started after the predecessor had ended, but the VM service may
+        // still be carrying out its last commands.
         PredecessorEnd::Restarted => VM_COMMAND_TIMEOUT_MS,
     }
 }
 
-/// Permits of a step.
+/// Placement permits of a step.
 #[derive(Clone, Debug, Default)]
 struct StepPermits {
     allowed: HashMap<Arc<str>, Arc<str>>,
@@ -137,7 +141,8 @@
     term: u64,
     bounds: SiteBounds,
     config: Arc<SiteConfig>,
-    /// Queues by name: as configured now, else as they last were, as jobs may still name them.
+    /// Queues by name: as configured now, else as last configured, since jobs may still refer to
+    /// them.
     queues: HashMap<Arc<str>, QueueSpec>,
     predecessor_lease_bound_ms: u64,
     predecessor_vm_bound_ms: u64,
@@ -147,11 +152,13 @@
     awaiting_occurrences: BTreeSet<JobId>,
     /// Run times by queue.
     runtimes: HashMap<Arc<str>, RuntimeModel>,
-    /// Jobs that are over, and since when this process knows that, in milliseconds: a wall clock may be set forward.
+    /// Jobs that are over, and when this process learned so, by the steady clock in milliseconds: a
+    /// wall clock may be set forward.
     finished: BTreeMap<JobId, u64>,
     tombstones: TombstoneTable,
     workers: BTreeMap<Arc<str>, WorkerState>,
-    /// Ends of the leases of workers that were dropped as nothing runs there, in milliseconds: they may be listed again.
+    /// Upper bounds of the leases of workers that were dropped because nothing runs there, in
+    /// milliseconds: the workers may be listed again.
     dropped_lease_bounds: BTreeMap<Arc<str>, u64>,
     pending_commands: BTreeSet<(TaskKey, u32)>,
     abandoned: AbandonedRuns,
@@ -160,11 +167,11 @@
     waits: WaitLog,
     organisations: OrganisationLedger,
     shares: ShareLimiter,
-    /// When what workers say of themselves was last read through, in milliseconds.
+    /// Time up to which the workers' reports of themselves have been read, in milliseconds.
     workers_read_ms: u64,
-    /// When the job log held no more than what we have been told, in milliseconds.
+    /// Time up to which the job log has been applied here, in milliseconds.
     jobs_read_ms: u64,
-    /// Whether nothing was placed as the jobs are not known well enough.
+    /// Whether placement was skipped because the view of the jobs was stale.
     is_view_stale: bool,
     permits: HashMap<StepKey, StepPermits>,
     claims: CapacityClaims,
@@ -173,23 +180,25 @@
     pace: FlowPace,
     actions: Vec<SchedulerAction>,
     needs_dispatch: bool,
-    /// Whether the next placement looks for tasks that need a copy: every tenth of a second is soon enough.
+    /// Whether the next placement also checks which tasks need a copy; every tenth of a second is
+    /// enough.
     is_copy_check_due: bool,
-    /// Whether tasks with room wait only for starts before them to go out.
+    /// Whether tasks that fit on a worker wait only because too many starts are queued.
     is_start_queue_full: bool,
     next_sweep_ms: u64,
     wall_ms: u64,
 }
 
 impl Scheduler {
-    /// Takes over from the log: every run that it tells of may be alive.
+    /// Takes over with the state from the log. Every run recorded there may be alive.
     pub fn open(start: SchedulerStart, book: &JobTable) -> Scheduler {
         let SchedulerStart { term, bounds, config, predecessor, now, wall_ms, .. } = start;
-        // The leader before extends no lease later than this long after it was last confirmed.
+        // The predecessor extends no lease later than this after its last confirmation.
         let lease_ms = bounds.lease_max_ms * 100 / 98 + 100;
         let predecessor_lease_bound_ms =
             predecessor.map_or(0, |leader| leader.seen_ms + CONFIRMATION_TIMEOUT_MS + lease_ms);
-        // A VM service that checks no tokens would carry its commands out after ours.
+        // A VM service that does not check fencing tokens could carry out the predecessor's
+        // commands after this leader's.
         let predecessor_vm_bound_ms = match bounds.are_vms_fenced {
             true => 0,
             false => predecessor.map_or(0, predecessor_vm_bound_ms),
@@ -258,7 +267,7 @@
         let Some(mut run) = JobRun::restore(id, job, now.saturating_sub(age_ms)) else { return };
         let live = run.live_tasks();
         if run.state.is_final() {
-            // A cancellation can be on the log without the progress that tells its time.
+            // The log can hold a cancellation without the progress record that has its time.
             if run.ended_wall_ms == 0 {
                 run.ended_wall_ms = wall_ms;
             }
@@ -282,7 +291,7 @@
         self.awaiting_occurrences.insert(id);
     }
 
-    /// Data centre of a worker.
+    /// Data centre of a worker; `None` if the worker is unknown.
     pub fn centre_of(&self, worker: &str) -> Option<Arc<str>> {
         self.workers.get(worker).map(|worker| worker.entry.centre.clone())
     }
@@ -292,33 +301,33 @@
         self.term
     }
 
-    /// Fencing token of its commands.
+    /// Lowest fencing token of this leader's commands.
     pub fn fence(&self) -> u64 {
         self.term * FENCING_TOKENS_PER_TERM
     }
 
-    /// Whether somebody with a higher term was seen: nothing may be done any more.
+    /// Whether a higher term was seen. A deposed leader must not act any more.
     pub fn is_deposed(&self) -> bool {
         self.is_deposed
     }
 
-    /// A later leader has shut us out of the log.
+    /// Deposes this leader: a later leader has fenced it off the log.
     pub fn depose(&mut self) {
         self.is_deposed = true;
     }
 
-    /// The log has confirmed our leadership with an append that was sent at `sent_ms`.
+    /// Records that the log confirmed the leadership with an append sent at `sent_ms`.
     pub fn confirm(&mut self, sent_ms: u64) {
         self.confirmed_ms = self.confirmed_ms.max(sent_ms);
     }
 
-    /// How fast commands get through to the workers now.
+    /// Sets how fast commands currently reach the workers.
     pub fn set_pace(&mut self, pace: FlowPace) {
         self.pace = pace;
     }
 
-    /// Whether we are behind ourselves: answers of several workers come after their time. What is believed
-    /// of the workers is old then, and their silence is ours.
+    /// Whether the leader itself lags: several workers' answers came after their timeout. Its view
+    /// of the workers is then out of date, and their silence may be its own fault.
     pub(crate) fn is_lagging(&self, now: u64) -> bool {
         let is_late = |worker: &&WorkerState| {
             worker.late_answer_ms.is_some_and(|late| now < late + LATE_AGE_MS)
@@ -327,7 +336,7 @@
         late >= LATE_WORKERS_MIN.max(self.workers.len() / LATE_WORKERS_DIVISOR)
     }
 
-    /// We have been told of all that the job log held at `shown_ms`.
+    /// Records that everything the job log held at `shown_ms` has been applied.
     pub fn jobs_read(&mut self, shown_ms: u64) {
         if shown_ms > self.jobs_read_ms {
             self.jobs_read_ms = shown_ms;
@@ -335,25 +344,25 @@
         }
     }
 
-    /// Whether starts may go by what we know of the jobs. One of a job that was cancelled by another entry, while
-    /// our reads of the log are late, would run for nobody: half of the time until nothing of it may start is left
-    /// for the start's own way.
+    /// Whether the view of the jobs is fresh enough to start runs. Another entry may have cancelled
+    /// a job that reads of the log have not shown yet, and a start of it would be wasted. Half of
+    /// the promised cancellation time is therefore left for the delivery of the start.
     pub(crate) fn is_job_view_fresh(&self, now: u64) -> bool {
         now <= self.jobs_read_ms + self.bounds.cancel_ms / 2
     }
 
-    /// When the latest start that is decided now may begin, in milliseconds. A cancellation that we have not been told
-    /// of was acknowledged after the log held no more than we know.
+    /// Latest time at which a start that is decided now may begin, in milliseconds. A cancellation
+    /// that has not been read yet was acknowledged after `jobs_read_ms`.
     pub(crate) fn start_deadline_ms(&self) -> u64 {
         self.jobs_read_ms + self.bounds.cancel_ms.saturating_sub(START_MARGIN_MS)
     }
 
-    /// Age of what we know of the jobs, in milliseconds.
+    /// Age of the view of the jobs, in milliseconds.
     pub fn view_age_ms(&self, now: u64) -> u64 {
         now.saturating_sub(self.jobs_read_ms)
     }
 
-    /// Age of the newest confirmation of our leadership, in milliseconds.
+    /// Age of the newest confirmation of the leadership, in milliseconds.
     pub fn confirmation_age_ms(&self, now: u64) -> u64 {
         now.saturating_sub(self.confirmed_ms)
     }
@@ -362,8 +371,8 @@
         now < self.confirmed_ms + CONFIRMATION_TIMEOUT_MS
     }
 
-    /// Whether VMs may be commanded: no successor can have begun to, and no command of the leader before
-    /// is under way any more.
+    /// Whether the leader may command VMs: no successor can have started to, and no command of the
+    /// predecessor is in flight any more.
     pub fn may_command_vms(&self, now: u64) -> bool {
         !self.is_deposed
             && now >= self.predecessor_vm_bound_ms
@@ -374,7 +383,7 @@
         self.bounds.lease_max_ms.saturating_sub(LEASE_SLACK_MS)
     }
 
-    /// What is to be done, in order.
+    /// Takes the pending actions, in the order in which they must be carried out.
     pub fn take_actions(&mut self) -> Vec<SchedulerAction> {
         std::mem::take(&mut self.actions)
     }
@@ -383,7 +392,7 @@
         self.actions.push(SchedulerAction::Event(event));
     }
 
-    /// A new configuration is in force.
+    /// Puts a new configuration into force.
     pub fn set_config(&mut self, config: Arc<SiteConfig>) {
         self.organisations.configure(&config);
         self.config = config;
@@ -391,8 +400,9 @@
         self.needs_dispatch = true;
     }
 
-    /// Takes the queue of a job that no configuration we have read names: another entry has accepted the job by one that
-    /// came and went meanwhile. Of the queue only its pool is known; one attempt is what any queue allows.
+    /// Adds the queue of a job if no configuration read here names it: another entry accepted the
+    /// job under a configuration that came and went in between. Only the pool of the queue is
+    /// known; one attempt is allowed by every queue.
     fn register_queue_of(&mut self, submission: &JobSubmission) {
         if self.queues.contains_key(&submission.queue) {
             return;
@@ -413,18 +423,16 @@
         self.queues.insert(queue.name.clone(), queue);
     }
 
-    /// Takes the queues of the configuration in force.
     fn register_queues(&mut self) {
         let named = self.config.queues.iter().map(|queue| (queue.name.clone(), queue.clone()));
         self.queues.extend(named);
     }
 
-    /// Queue of a job: as configured now, else as it last was.
+    /// Queue of a job: as configured now, else as last configured.
     fn queue_of(&self, job: &JobRun) -> Option<&QueueSpec> {
         self.queues.get(&job.submission.queue)
     }
 
-    /// What is known of the run times of a queue.
     fn runtime_model(&self, queue: &QueueSpec) -> RuntimeModel {
         self.runtimes.get(&queue.name).copied().unwrap_or_default()
     }
@@ -435,7 +443,7 @@
             .map_or_else(|| job.submission.service.clone(), |queue| queue.service.clone())
     }
 
-    /// A record of the job log that others may have written.
+    /// Applies a record read from the job log, which others may have written.
     pub fn apply_record(&mut self, record: &JobRecord, now: u64) {
         self.apply_record_from(RecordSource::Read, record, now);
     }
@@ -443,7 +451,7 @@
     pub(crate) fn apply_record_from(&mut self, source: RecordSource, record: &JobRecord, now: u64) {
         match record {
             JobRecord::Submitted(job, submission) => {
-                // Repeats of a submission come seconds late, also after the job is over.
+                // A repeated submission can arrive seconds late, even after the job is over.
                 let is_known = self.jobs.contains_key(job) || self.finished.contains_key(job);
                 if is_known || submission.has_no_spec() {
                     return;
@@ -476,7 +484,7 @@
         }
     }
 
-    /// Whether a job that arrives is within its organisation's share.
+    /// Whether an arriving job is within its organisation's share. Counts the job.
     fn is_within_share(&mut self, submission: &JobSubmission, now: u64) -> bool {
         let Some(organisation) = &submission.organisation else { return true };
         let weight = self.organisations.weight(organisation);
@@ -486,8 +494,9 @@
     fn cancel(&mut self, id: JobId, source: RecordSource, now: u64) {
         self.log_cancellation(id, source, now);
         let Some(job) = self.jobs.get_mut(&id) else {
-            // Another entry has stored the job, and we have yet to read it: the cancellation came sooner, by the
-            // relay. Forgotten, it would never be heard of again, and the job would run.
+            // Another entry stored the job and this leader has not read it yet: the cancellation
+            // came first, by the relay. If it were dropped here, it would never be seen again, and
+            // the job would run.
             self.finished.entry(id).or_insert(now);
             self.commits.cancel_job_drop(id);
             return;
@@ -505,7 +514,7 @@
         self.stop_job(id, now);
     }
 
-    /// A worker reports itself, for the first time or with something new.
+    /// Applies a worker's report of itself, its first or a changed one.
     pub fn worker_seen(&mut self, entry: WorkerEntry, now: u64) {
         if !self.begin_incarnation(&entry, now) {
             return;
@@ -543,13 +552,14 @@
         }
     }
 
-    /// The entry of a worker of this name is gone.
+    /// Handles that the entry of a worker of this name is gone.
     pub fn worker_unlisted(&mut self, name: &Arc<str>, now: u64) {
         let id = self.incarnations.newest(name).clone();
         self.life_unlisted(&id, now);
     }
 
-    /// A life's entry is gone. It may run on behind a cut, so its runs are not over yet.
+    /// Handles that an incarnation's entry is gone. It may still run behind a network partition, so
+    /// its runs are not over yet.
     fn life_unlisted(&mut self, id: &Arc<str>, now: u64) {
         self.revoke_starts(id, "its worker is not listed", now);
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -565,9 +575,9 @@
         self.needs_dispatch = true;
     }
 
-    /// Every worker that is listed now; the others' entries are gone.
+    /// Applies the full list of workers; those that are missing have lost their entries.
     pub fn workers_listed(&mut self, entries: Vec<WorkerEntry>, now: u64) {
-        // Those that are listed under another life are dealt with when that is taken in.
+        // A worker that is listed under another incarnation is handled when that entry is applied.
         let listed: BTreeSet<&str> = entries.iter().map(|entry| worker_name(&entry.id)).collect();
         let is_gone = |id: &&Arc<str>| !listed.contains(worker_name(id));
         let gone: Vec<Arc<str>> = self.workers.keys().filter(is_gone).cloned().collect();
@@ -579,19 +589,19 @@
         }
     }
 
-    /// The VM list, as it was when it was asked for at `requested_ms`.
+    /// Applies the VM list that was requested at `requested_ms`.
     pub fn update_vms(&mut self, vms: Vec<VmEntry>, requested_ms: u64, now: u64) {
         self.fleet.update_list(vms, &self.incarnations, requested_ms);
         self.end_vanished_workers(requested_ms, now);
         self.needs_dispatch = true;
     }
 
-    /// A wave of maintenance, and which VMs of it have been maintained already.
+    /// Adds a maintenance wave and the VMs of it that have been maintained already.
     pub fn add_wave(&mut self, wave: MaintenanceWave, done: BTreeSet<Arc<str>>, now: u64) {
         self.fleet.add_wave(wave, done, now);
     }
 
-    /// Permits of a step have come; none if there was no answer.
+    /// Applies the answer to a request for permits of a step; `None` if there was no answer.
     pub fn update_permits(&mut self, step: StepKey, grant: Option<PermitGrant>, now: u64) {
         let permits = self.permits.entry(step).or_default();
         permits.requested_ms = None;
@@ -602,7 +612,7 @@
         self.needs_dispatch = true;
     }
 
-    /// Does what is due: occurrences, retries, judgements, placement, VMs.
+    /// Carries out what is due: occurrences, retries, judgement of runs, placement, VM operations.
     pub fn tick(&mut self, now: u64, wall_ms: u64) {
         if self.is_deposed {
             return;
@@ -647,7 +657,7 @@
         }
     }
 
-    /// Figures for metrics and status.
+    /// Counts for metrics and status.
     pub fn stats(&self) -> SchedulerStats {
         let mut census = SchedulerStats { jobs: self.jobs.len(), ..Default::default() };
         for worker in self.workers.values() {
@@ -659,12 +669,12 @@
     }
 }
 
-/// Figures of a leader.
+/// Counts of a leader's jobs, workers and runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerStats {
     /// Jobs that are not over.
     pub jobs: usize,
-    /// Workers that are listed.
+    /// Workers with a listed entry.
     pub workers: usize,
     /// Workers that don't answer.
     pub silent: usize,
--- a/src/scheduler/overview.rs
+++ b/src/scheduler/overview.rs
@@ -1,4 +1,4 @@
-//! What a leader believes, in figures for operators.
+//! The leader's view of pools, organisations, waves and workers, as figures for operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::rank::{RankTier, rank};
 
-/// One pool.
+/// Figures of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolOverview {
     /// Workers that are listed.
     pub workers: usize,
     /// Runs that may be alive.
     pub runs: usize,
-    /// Processor booked, in thousandths of that of its workers.
+    /// Allocated processor, in thousandths of that of its workers.
     pub booked_permille: u64,
     /// Jobs that are not over.
     pub jobs: usize,
@@ -25,33 +25,33 @@
     pub late: usize,
 }
 
-/// One organisation.
+/// Figures of one organisation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationOverview {
-    /// Its share, in jobs a second; 0 for none.
+    /// Its share, in jobs per second; 0 for none.
     pub weight: f64,
-    /// Most that it may have running; 0 of a resource for no limit.
+    /// Cap on the resources of its runs; 0 of a resource for no limit.
     pub cap: ResourceVector,
-    /// What is booked for its runs.
+    /// Resources allocated to its runs.
     pub used: ResourceVector,
     /// Runs that may be alive.
     pub runs: usize,
     /// Jobs of which no task has started.
     pub waiting: usize,
-    /// Jobs that are not over and came beyond its share.
+    /// Jobs that are not over and arrived beyond its share.
     pub beyond_share: usize,
 }
 
-/// One maintenance wave.
+/// Figures of one maintenance wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveOverview {
     /// Its number.
     pub number: u64,
-    /// VMs that it names.
+    /// Number of VMs that it names.
     pub vms: usize,
-    /// VMs whose maintenance has begun or is over.
+    /// Number of VMs whose maintenance has begun or is over.
     pub done: usize,
-    /// Whether operators were told that it is complete.
+    /// Whether its completion was published to operators.
     pub is_completed: bool,
 }
 
@@ -62,13 +62,13 @@
     pub worker: Arc<str>,
     /// Its pool.
     pub pool: Arc<str>,
-    /// Why.
+    /// Reason for which it gets no work.
     pub reason: String,
     /// Runs that may be alive on it.
     pub runs: usize,
 }
 
-/// What a leader believes.
+/// The leader's view of its site, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaderOverview {
     /// Its term.
@@ -82,12 +82,12 @@
     pub waves: Vec<WaveOverview>,
     /// Workers that get no new work.
     pub doubted: Vec<UnavailableWorker>,
-    /// Commands to VMs that are not through.
+    /// Operations on VMs that are not finished.
     pub vm_commands: usize,
 }
 
 impl Scheduler {
-    /// Figures for operators.
+    /// The leader's view at `now`, for operators.
     pub fn overview(&self, now: u64) -> LeaderOverview {
         let waves = self.fleet.waves.values().map(|run| WaveOverview {
             number: run.wave.number,
@@ -134,7 +134,7 @@
         pools
     }
 
-    /// Organisations that are known, and what they have running and waiting.
+    /// Known organisations with their running and waiting work.
     pub(crate) fn organisation_overviews(&self) -> BTreeMap<Arc<str>, OrganisationOverview> {
         let overview = |spec: &OrganisationSpec| {
             let usage = self.organisations.usage(&spec.name);
