--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -463,8 +463,8 @@
             .map(|(id, worker)| (self.fleet.is_due(id), worker))
             .collect();
         let is_urgent = self.fleet.urgent_pools.contains(&service);
-        let has_lasting_host = is_urgent && hosts.iter().any(|(is_due, _)| !is_due);
-        hosts.iter().filter(|(is_due, _)| !(has_lasting_host && *is_due)).any(|(_, worker)| {
+        let has_host_not_due = is_urgent && hosts.iter().any(|(is_due, _)| !is_due);
+        hosts.iter().filter(|(is_due, _)| !(has_host_not_due && *is_due)).any(|(_, worker)| {
             worker.free().covers(&spec.reservation())
                 || is_urgent && self.may_preempt_for(worker, spec, rank, now)
         })
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -263,7 +263,7 @@
             self.apply_task(logged, &progress.workers);
         }
         for logged in &progress.restarts {
-            let key = self.setback_key(logged);
+            let key = self.restarts_key(logged);
             if let Some(task) = self.task_mut(&key) {
                 task.losses = logged.losses;
                 task.moves = logged.moves;
@@ -278,14 +278,14 @@
             progress.restarts.iter().enumerate().filter(|(_, logged)| logged.losses.total > 0);
         for (position, logged) in lost {
             let logged_ms = progress.last_alive_ms.get(position).copied().unwrap_or_default();
-            let key = self.setback_key(logged);
+            let key = self.restarts_key(logged);
             if let Some(task) = self.task_mut(&key) {
                 task.last_alive = Some(LastAlive::restore(logged_ms, now, wall_ms));
             }
         }
     }
 
-    fn setback_key(&self, logged: &TaskRestarts) -> TaskKey {
+    fn restarts_key(&self, logged: &TaskRestarts) -> TaskKey {
         let TaskRestarts { occurrence, step, index, .. } = *logged;
         TaskKey { job: self.id, occurrence, step, index }
     }
@@ -463,7 +463,7 @@
         let (losses, moves) = (task.losses, task.moves);
         if losses.total + moves > 0 && !task.is_done {
             progress.restarts.push(TaskRestarts { occurrence, step, index, losses, moves });
-            progress.last_alive_ms.push(task.last_alive.map_or(0, |seen| seen.wall_ms));
+            progress.last_alive_ms.push(task.last_alive.map_or(0, |last_alive| last_alive.wall_ms));
         }
         let live = task
             .live
--- a/tests/runtime_model.rs
+++ b/tests/runtime_model.rs
@@ -65,9 +65,9 @@
     let declared = |count| StepSpec { estimate_ms: 100, ..step(count) };
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
     for id in 1..=20 {
-        let seen = sim.submit(id, job(vec![declared(1)]));
+        let observed = sim.submit(id, job(vec![declared(1)]));
         sim.advance(1_000);
-        sim.end(task(seen, 0, 0), ExitKind::Done);
+        sim.end(task(observed, 0, 0), ExitKind::Done);
         sim.advance(60);
     }
     // All capacity is in use for 1.5 s, in which two jobs arrive.
--- a/tests/scheduler_steps.rs
+++ b/tests/scheduler_steps.rs
@@ -116,8 +116,8 @@
     let schedule = JobSchedule { occurrences: 100_000, first_ms, interval_ms: 1 };
     let id = sim.submit(1, JobSpec { schedule: Some(schedule), ..job(vec![step(50)]) });
     sim.advance(1_000);
-    let booked = sim.book.get(id).expect("it is stored");
-    let mut run = JobRun::restore(id, booked, sim.now).expect("it has a submission");
+    let logged = sim.book.get(id).expect("it is stored");
+    let mut run = JobRun::restore(id, logged, sim.now).expect("it has a submission");
     run.begin_due(WALL_OFFSET_MS + sim.now + 50_000);
     let begun: usize = run.occurrences.values().map(|run| run.steps[0].tasks.len()).sum();
     assert!(begun <= 2_000, "{begun} tasks at once");
