--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -47,7 +47,7 @@
     fn store(&self, call: &AppendCall) -> Result<u64, u64> {
         let mut records = self.records();
         if self.has_rival && records.len() == 1 {
-            records.push(rival());
+            records.push(rival_claim());
         }
         let end = records.len() as u64;
         if call.expected_end != Some(end) {
@@ -66,7 +66,7 @@
     }
 }
 
-fn rival() -> Vec<u8> {
+fn rival_claim() -> Vec<u8> {
     let record = LeadershipRecord {
         act: LeadershipAct::Claim,
         holder: "front-9".into(),
@@ -79,7 +79,7 @@
 }
 
 impl JobLog for LossyLog {
-    async fn append(&self, call: &AppendCall, patience: Duration) -> AppendOutcome {
+    async fn append(&self, call: &AppendCall, timeout: Duration) -> AppendOutcome {
         if call.topic != LogTopic::Leadership {
             sleep(Duration::from_millis(10)).await;
             return match self.is_fenced.load(Ordering::Relaxed) {
@@ -92,7 +92,7 @@
             Err(end) => return AppendOutcome::EndMoved { end },
         };
         if end == 0 && !self.answers_all {
-            sleep(patience).await;
+            sleep(timeout).await;
             return AppendOutcome::Unknown;
         }
         AppendOutcome::Done { offset: end, end: end + 1 }
@@ -120,9 +120,9 @@
 
 /// VMs and a policy service that nobody reaches.
 #[derive(Clone)]
-struct Nobody;
+struct NoServices;
 
-impl VmClient for Nobody {
+impl VmClient for NoServices {
     async fn list(&self) -> Option<Vec<VmEntry>> {
         None
     }
@@ -132,13 +132,13 @@
     }
 }
 
-impl PermitClient for Nobody {
+impl PermitClient for NoServices {
     async fn ask(&self, _: &StepKey, _: &[Arc<str>]) -> Option<PermitGrant> {
         None
     }
 }
 
-fn leadership(log: LossyLog) -> LeadershipLoop<LossyLog, RecordingWorkers, Nobody, Nobody> {
+fn leadership(log: LossyLog) -> LeadershipLoop<LossyLog, RecordingWorkers, NoServices, NoServices> {
     let logger = ibisweir::logging::silent();
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
     node.set_config(config());
@@ -146,8 +146,8 @@
     let parts = ConductorParts {
         log,
         workers: RecordingWorkers::new(AnswerMode::Silent),
-        vms: Nobody,
-        permits: Nobody,
+        vms: NoServices,
+        permits: NoServices,
         worker_decoder: |_| None,
         wave_encoder: |_, _| None,
     };
@@ -167,30 +167,30 @@
 /// once. Before, it took nobody for the leader, all others took it for that, and no job was placed
 /// until the silence of a leader that was none had been noticed.
 #[tokio::test(start_paused = true)]
-async fn an_entry_leads_by_a_claim_whose_answer_was_lost() {
+async fn an_entry_leads_by_a_stored_claim_whose_answer_was_lost() {
     let log = LossyLog::default();
     let mut leadership = leadership(log.clone());
-    let begun = Instant::now();
+    let started = Instant::now();
     while leadership.conductor.is_none() {
         let pause = leadership.step().await;
         sleep(pause).await;
-        assert!(begun.elapsed() < Duration::from_secs(10), "it never leads");
+        assert!(started.elapsed() < Duration::from_secs(10), "it never leads");
     }
-    assert!(begun.elapsed() < Duration::from_millis(1_300), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(1_300), "{:?}", started.elapsed());
     assert_eq!(log.claims(), 1);
 }
 
 /// The same, and another entry has claimed by the time that the first claim is read: the first entry
 /// must not begin, since its term is over.
 #[tokio::test(start_paused = true)]
-async fn a_claim_that_was_overtaken_is_not_taken_up() {
+async fn a_claim_followed_by_another_entrys_claim_is_not_resumed() {
     let log = LossyLog { has_rival: true, ..LossyLog::default() };
     let mut leadership = leadership(log);
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_millis(1_500) {
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_millis(1_500) {
         let pause = leadership.step().await;
         sleep(pause.max(Duration::from_millis(1))).await;
-        assert!(leadership.conductor.is_none(), "it leads after {:?}", begun.elapsed());
+        assert!(leadership.conductor.is_none(), "it leads after {:?}", started.elapsed());
     }
     assert_eq!(leadership.view.term, 2);
 }
@@ -199,11 +199,11 @@
 /// renewal as those of any leader before; counted from its first claim, which is all that the entry itself reads,
 /// they would be taken for over and started once more beside those that run.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_follows_itself_counts_leases_from_its_last_renewal() {
+async fn an_entry_that_succeeds_itself_counts_leases_from_its_last_renewal() {
     let log = LossyLog { answers_all: true, ..LossyLog::default() };
     let mut leadership = leadership(log.clone());
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(8) {
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(8) {
         let pause = leadership.step().await;
         sleep(pause).await;
     }
@@ -216,8 +216,8 @@
         sleep(pause.clamp(Duration::from_millis(1), Duration::from_millis(20))).await;
         assert!(leadership.node.now() < renewed_ms + 2_000, "the term does not end");
     }
-    let trace = leadership.view.predecessor(&leadership.own).expect("a leader before");
-    assert!(trace.seen_ms + RENEWAL_INTERVAL_MS >= renewed_ms, "{trace:?} at {renewed_ms}");
+    let previous = leadership.view.predecessor(&leadership.own).expect("a leader before");
+    assert!(previous.seen_ms + RENEWAL_INTERVAL_MS >= renewed_ms, "{previous:?} at {renewed_ms}");
     let ended = Instant::now();
     while leadership.conductor.is_none() {
         let pause = leadership.step().await;
--- a/tests/command_flow.rs
+++ b/tests/command_flow.rs
@@ -11,7 +11,7 @@
 /// Answers come within a few milliseconds however many commands are under way: the window opens until
 /// nothing waits for it any more.
 #[test]
-fn the_window_opens_while_answers_come_fast() {
+fn the_window_grows_while_answers_are_fast() {
     let mut window = CommandWindow::default();
     for n in 0..1_000 {
         window.record_end(4_000 + n % 3 * 1_000, true, true, 1_000 + n);
@@ -21,7 +21,7 @@
 
 /// A window that nobody waits for stays as it is: it says nothing about what would fit.
 #[test]
-fn the_window_does_not_open_unused() {
+fn an_unused_window_does_not_grow() {
     let mut window = CommandWindow::default();
     let before = window.size();
     for n in 0..1_000 {
@@ -33,7 +33,7 @@
 /// A rack is dead, a third of all workers: each of their commands costs a whole time limit. The others' answers
 /// come fast, and the window stays open for them.
 #[test]
-fn dead_workers_do_not_close_the_window() {
+fn dead_workers_do_not_shrink_the_window() {
     let mut window = CommandWindow::default();
     let before = window.size();
     for n in 0..2_000 {
@@ -46,7 +46,7 @@
 
 /// The line is so long that no command is answered in time: the window closes all the same.
 #[test]
-fn a_line_beyond_every_time_limit_closes_the_window() {
+fn a_queue_longer_than_every_timeout_shrinks_the_window() {
     let mut window = CommandWindow::default();
     for n in 0..20 {
         window.record_end(4_000, true, true, 1_000 + n);
@@ -61,7 +61,7 @@
 /// A busy leader answers its own timers some tens of milliseconds late. That is no line: commits and renewals, which
 /// every step of a job waits for, must not be put off for it. A line of a fifth of a second is one.
 #[test]
-fn a_busy_process_is_no_line() {
+fn the_delay_of_a_busy_process_is_no_queue_delay() {
     let mut window = CommandWindow::default();
     window.record_end(4_000, true, false, 1_000);
     for n in 0..100 {
@@ -77,7 +77,7 @@
 /// The line was long when other entries took over all starts. No answer tells since how it is: what was put off
 /// because of it must not stay so.
 #[test]
-fn a_line_that_nothing_tells_of_is_forgotten() {
+fn the_queue_delay_expires_without_new_answers() {
     let mut window = CommandWindow::default();
     window.record_end(4_000, true, false, 1_000);
     for n in 0..100 {
@@ -92,19 +92,19 @@
 /// long after it was given up; held back, none waits on the link for longer than it is waited for, once what
 /// was under way has gone through.
 #[tokio::test(start_paused = true)]
-async fn a_burst_beyond_the_link_is_held_back() {
+async fn a_burst_beyond_the_capacity_of_the_link_is_held_back() {
     const FAST: Duration = Duration::from_micros(200);
     const EACH: Duration = Duration::from_millis(4);
     const SETTLED: Duration = Duration::from_secs(4);
     let flow = Arc::new(CommandFlow::default());
-    let begun = Instant::now();
-    let link_free = Arc::new(std::sync::Mutex::new(begun));
+    let started = Instant::now();
+    let link_free = Arc::new(std::sync::Mutex::new(started));
     let mut starts = JoinSet::new();
     for n in 0..4_000 {
         let each = if n < 2_000 { FAST } else { EACH };
         let (flow, link_free) = (flow.clone(), link_free.clone());
         starts.spawn(async move {
-            let now = || u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
+            let now = || u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
             let permit = flow.acquire(now).await;
             let sent = Instant::now();
             let done = {
@@ -114,12 +114,12 @@
             };
             sleep(done - sent).await;
             permit.end(true, now());
-            (sent - begun, sent.elapsed())
+            (sent - started, sent.elapsed())
         });
     }
     let ended = starts.join_all().await;
     // The link was busy all the time, so holding back has cost nothing.
-    assert!(begun.elapsed() < EACH * 2_000 + Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < EACH * 2_000 + Duration::from_secs(1), "{:?}", started.elapsed());
     let longest = ended.iter().filter(|(sent, _)| *sent >= SETTLED).map(|(_, delay)| *delay).max();
     assert!(longest < Some(Duration::from_millis(450)), "{longest:?}");
 }
@@ -127,11 +127,11 @@
 /// While commands wait, only as many starts are decided as go out in a few tenths of a second; when none
 /// waits any more, there is no bound.
 #[tokio::test(start_paused = true)]
-async fn the_line_bounds_what_is_placed() {
+async fn queued_commands_limit_further_starts() {
     let flow = Arc::new(CommandFlow::default());
     assert_eq!(flow.pace(0).starts_max, None);
-    let begun = Instant::now();
-    let now = move || u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let started = Instant::now();
+    let now = move || u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
     let mut starts = JoinSet::new();
     for _ in 0..800 {
         let flow = flow.clone();
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -26,19 +26,19 @@
 
 /// A log that answers at once, but for what the test holds up.
 #[derive(Clone, Default)]
-struct HeldLog {
+struct DelayedLog {
     ends: Arc<Mutex<[u64; 2]>>,
     /// Time that the first reading of the workers takes, in milliseconds.
-    workers_ms: Arc<AtomicU64>,
+    first_read_ms: Arc<AtomicU64>,
     /// Whether the workers are not read on.
-    holds_rooms: Arc<AtomicBool>,
+    blocks_worker_reads: Arc<AtomicBool>,
     /// Time that an answer with news of the workers is on its way, in milliseconds; 0 where there is no news.
-    news_ms: Arc<AtomicU64>,
+    records_delay_ms: Arc<AtomicU64>,
     /// Whether claims and renewals are not answered any more.
-    holds_leadership: Arc<AtomicBool>,
+    blocks_leadership: Arc<AtomicBool>,
 }
 
-impl HeldLog {
+impl DelayedLog {
     fn end(&self, topic: LogTopic, by: u64) -> u64 {
         let mut ends = self.ends.lock().expect("no panic before");
         let end = &mut ends[usize::from(topic == LogTopic::Leadership)];
@@ -47,11 +47,11 @@
     }
 }
 
-impl JobLog for HeldLog {
-    async fn append(&self, call: &AppendCall, patience: Duration) -> AppendOutcome {
+impl JobLog for DelayedLog {
+    async fn append(&self, call: &AppendCall, timeout: Duration) -> AppendOutcome {
         let is_claim = call.topic == LogTopic::Leadership;
-        if is_claim && self.holds_leadership.load(Ordering::Relaxed) {
-            sleep(patience).await;
+        if is_claim && self.blocks_leadership.load(Ordering::Relaxed) {
+            sleep(timeout).await;
             return AppendOutcome::Unknown;
         }
         let count = u64::try_from(call.records.len()).expect("few");
@@ -60,27 +60,27 @@
     }
 
     async fn read(&self, topic: LogTopic, from: u64, wait: Duration) -> ReadOutcome {
-        let news_ms = self.news_ms.load(Ordering::Relaxed);
-        if topic == LogTopic::Workers && news_ms > 0 {
-            sleep(Duration::from_millis(news_ms)).await;
+        let records_delay_ms = self.records_delay_ms.load(Ordering::Relaxed);
+        if topic == LogTopic::Workers && records_delay_ms > 0 {
+            sleep(Duration::from_millis(records_delay_ms)).await;
             let record = KeyedRecord { key: "w0".to_owned(), value: b"w0".to_vec() };
             let (end, records) = (from + 1, vec![(from, record)]);
             return ReadOutcome::Read(LogBatch { end, next: end, records });
         }
         sleep(wait.max(Duration::from_millis(20))).await;
-        let is_held = match topic {
-            LogTopic::Workers => self.holds_rooms.load(Ordering::Relaxed),
-            LogTopic::Leadership => self.holds_leadership.load(Ordering::Relaxed),
+        let is_blocked = match topic {
+            LogTopic::Workers => self.blocks_worker_reads.load(Ordering::Relaxed),
+            LogTopic::Leadership => self.blocks_leadership.load(Ordering::Relaxed),
             LogTopic::Jobs | LogTopic::Operator | LogTopic::Status => false,
         };
-        match is_held {
+        match is_blocked {
             true => ReadOutcome::Unknown,
             false => ReadOutcome::Read(LogBatch { end: from, next: from, records: Vec::new() }),
         }
     }
 
     async fn newest(&self, _: LogTopic, _: Option<&str>) -> Option<NewestPage> {
-        sleep(Duration::from_millis(self.workers_ms.load(Ordering::Relaxed))).await;
+        sleep(Duration::from_millis(self.first_read_ms.load(Ordering::Relaxed))).await;
         let record = KeyedRecord { key: "w0".to_owned(), value: b"w0".to_vec() };
         Some(NewestPage { records: vec![(0, record)], has_more: false, end: 1 })
     }
@@ -88,11 +88,11 @@
 
 /// A worker that does what it is told.
 #[derive(Clone, Default)]
-struct GoodWorker {
+struct AcceptingWorker {
     starts: Arc<AtomicU64>,
 }
 
-impl WorkerClient for GoodWorker {
+impl WorkerClient for AcceptingWorker {
     async fn renew(
         &self,
         _: &WorkerTarget,
@@ -124,9 +124,9 @@
 }
 
 #[derive(Clone)]
-struct Nobody;
+struct NoServices;
 
-impl VmClient for Nobody {
+impl VmClient for NoServices {
     async fn list(&self) -> Option<Vec<VmEntry>> {
         None
     }
@@ -136,7 +136,7 @@
     }
 }
 
-impl PermitClient for Nobody {
+impl PermitClient for NoServices {
     async fn ask(&self, _: &StepKey, _: &[Arc<str>]) -> Option<PermitGrant> {
         None
     }
@@ -145,28 +145,28 @@
 /// An entry that takes over, with one job that waits. Nobody reads the job log for it but the takeover itself.
 struct Takeover {
     node: Arc<JobNode>,
-    log: HeldLog,
-    worker: GoodWorker,
+    log: DelayedLog,
+    worker: AcceptingWorker,
     /// Ends with it.
-    _leading: JoinHandle<()>,
+    _leading_task: JoinHandle<()>,
 }
 
 impl Takeover {
     /// One that waits for the workers for so long.
-    fn begin(config: SiteConfig, workers_ms: u64) -> Takeover {
+    fn begin(config: SiteConfig, first_read_ms: u64) -> Takeover {
         let logger = ibisweir::logging::silent();
         let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
         node.set_config(config);
         node.set_loaded();
         let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
         node.fold(&[(0, record)]);
-        let (log, good) = (HeldLog::default(), GoodWorker::default());
-        log.workers_ms.store(workers_ms, Ordering::Relaxed);
+        let (log, worker_client) = (DelayedLog::default(), AcceptingWorker::default());
+        log.first_read_ms.store(first_read_ms, Ordering::Relaxed);
         let parts = ConductorParts {
             log: log.clone(),
-            workers: good.clone(),
-            vms: Nobody,
-            permits: Nobody,
+            workers: worker_client.clone(),
+            vms: NoServices,
+            permits: NoServices,
             worker_decoder: |_| Some(worker("w0", "r0")),
             wave_encoder: |_, _| None,
         };
@@ -180,13 +180,13 @@
             append_timeout: TimeoutEstimator::new(APPEND_TIMEOUT),
             pending: None,
         };
-        let _leading = tokio::spawn(async move {
+        let _leading_task = tokio::spawn(async move {
             loop {
                 let pause = leadership.step().await;
                 sleep(pause.max(Duration::from_millis(1))).await;
             }
         });
-        Takeover { node, log, worker: good, _leading }
+        Takeover { node, log, worker: worker_client, _leading_task }
     }
 
     /// Whether it has started anything by that time from now.
@@ -196,7 +196,7 @@
     }
 }
 
-fn unguarded() -> SiteConfig {
+fn config_without_admission_check() -> SiteConfig {
     let config = config();
     let pools = config.pools.iter().cloned();
     let pools = pools.map(|pool| PoolSpec { has_admission_check: false, ..pool }).collect();
@@ -206,7 +206,7 @@
 /// Guards against a leader that takes a view of the jobs for new which is from before a slow reading of the workers:
 /// a job that was cancelled meanwhile would start.
 #[tokio::test(start_paused = true)]
-async fn a_takeover_with_an_old_view_of_the_jobs_starts_nothing() {
+async fn a_takeover_with_a_stale_job_view_starts_nothing() {
     let old_ms = bounds().cancel_ms / 2 + 100;
     let takeover = Takeover::begin(config(), old_ms);
     assert!(!takeover.starts_within(old_ms + 700).await);
@@ -217,14 +217,14 @@
 
 /// Guards against a takeover that waits for another reading though what it knows of the jobs is new.
 #[tokio::test(start_paused = true)]
-async fn a_quick_takeover_starts_what_waits() {
+async fn a_quick_takeover_starts_waiting_jobs() {
     let takeover = Takeover::begin(config(), 100);
     assert!(takeover.starts_within(1_200).await);
 }
 
 /// Guards against a takeover that waits although the job log was read while it waited for the workers.
 #[tokio::test(start_paused = true)]
-async fn a_reading_of_the_jobs_during_a_takeover_counts() {
+async fn a_read_of_the_job_log_during_a_takeover_counts() {
     let old_ms = bounds().cancel_ms / 2 + 100;
     let takeover = Takeover::begin(config(), old_ms);
     sleep(Duration::from_millis(old_ms - 200)).await;
@@ -235,10 +235,10 @@
 /// Guards against two leaders at work: one that was last confirmed before a slow reading of the workers starts
 /// tasks when a successor may have begun.
 #[tokio::test(start_paused = true)]
-async fn a_takeover_that_is_not_confirmed_any_more_starts_nothing() {
+async fn a_takeover_that_is_no_longer_confirmed_starts_nothing() {
     let takeover = Takeover::begin(config(), 2_000);
     sleep(Duration::from_millis(100)).await;
-    takeover.log.holds_leadership.store(true, Ordering::Relaxed);
+    takeover.log.blocks_leadership.store(true, Ordering::Relaxed);
     sleep(Duration::from_millis(1_800)).await;
     takeover.node.jobs_shown(takeover.node.now());
     for _ in 0..10 {
@@ -249,14 +249,16 @@
 
 /// Guards against a start over the room of a worker that shrank while the workers were read.
 #[tokio::test(start_paused = true)]
-async fn a_takeover_with_an_old_view_of_the_workers_starts_nothing_where_nobody_guards() {
-    for (config, has_admission_check) in [(unguarded(), false), (config(), true)] {
+async fn a_takeover_with_a_stale_worker_view_starts_nothing_without_admission_check() {
+    for (config, has_admission_check) in
+        [(config_without_admission_check(), false), (config(), true)]
+    {
         let takeover = Takeover::begin(config, 2_200);
-        takeover.log.holds_rooms.store(true, Ordering::Relaxed);
+        takeover.log.blocks_worker_reads.store(true, Ordering::Relaxed);
         sleep(Duration::from_millis(2_100)).await;
         takeover.node.jobs_shown(takeover.node.now());
         assert_eq!(takeover.starts_within(800).await, has_admission_check);
-        takeover.log.holds_rooms.store(false, Ordering::Relaxed);
+        takeover.log.blocks_worker_reads.store(false, Ordering::Relaxed);
         for _ in 0..10 {
             takeover.node.jobs_shown(takeover.node.now());
             sleep(Duration::from_millis(100)).await;
@@ -268,9 +270,9 @@
 /// Guards against the same by an answer with news that is long on its way, as on a weak link: what it shows is as old as
 /// the question may be.
 #[tokio::test(start_paused = true)]
-async fn news_of_the_workers_that_are_long_on_their_way_start_nothing_where_nobody_guards() {
-    let takeover = Takeover::begin(unguarded(), 2_200);
-    takeover.log.news_ms.store(3_000, Ordering::Relaxed);
+async fn slowly_delivered_worker_records_start_nothing_without_admission_check() {
+    let takeover = Takeover::begin(config_without_admission_check(), 2_200);
+    takeover.log.records_delay_ms.store(3_000, Ordering::Relaxed);
     for _ in 0..80 {
         takeover.node.jobs_shown(takeover.node.now());
         sleep(Duration::from_millis(100)).await;
--- a/tests/two_leaders.rs
+++ b/tests/two_leaders.rs
@@ -29,11 +29,11 @@
 use tokio::time::{Instant, sleep};
 
 /// Time between two looks at a stream that is read with a wait.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest time of the scene.
-const SCENE: Duration = Duration::from_secs(40);
+const SCENARIO_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time after which a renewal that is carried out late is.
-const LATE: Duration = Duration::from_millis(2_500);
+const LATE_RENEWAL_DELAY: Duration = Duration::from_millis(2_500);
 /// Rate by which the clocks of workers are slow, in percent: as much as they may be.
 const SLOW_PERCENT: u64 = 2;
 
@@ -58,7 +58,7 @@
     /// No call gets there.
     is_cut: AtomicBool,
     /// No call gets there once the leadership was read to a record.
-    cuts_after_news: AtomicBool,
+    cuts_after_records: AtomicBool,
     /// Leadership appends that were stored and not answered.
     unanswered: AtomicUsize,
 }
@@ -98,7 +98,7 @@
         AppendOutcome::Done { offset, end: log.end }
     }
 
-    fn peek(&self, topic: LogTopic, from: u64) -> ReadOutcome {
+    fn read_now(&self, topic: LogTopic, from: u64) -> ReadOutcome {
         let shared = self.shared();
         let log = match topic {
             LogTopic::Leadership if from < shared.first => {
@@ -115,18 +115,18 @@
 }
 
 impl JobLog for LogLink {
-    async fn append(&self, call: &AppendCall, patience: Duration) -> AppendOutcome {
+    async fn append(&self, call: &AppendCall, timeout: Duration) -> AppendOutcome {
         let is_leadership = call.topic == LogTopic::Leadership;
         let is_lost = is_leadership && self.has(&self.faults.loses_appends);
         if self.has(&self.faults.is_cut) || is_lost {
-            sleep(patience).await;
+            sleep(timeout).await;
             return AppendOutcome::Unknown;
         }
         let outcome = self.store(call);
         let is_done = matches!(outcome, AppendOutcome::Done { .. });
         if is_leadership && is_done && self.has(&self.faults.loses_answers) {
             self.faults.unanswered.fetch_add(1, Ordering::Relaxed);
-            sleep(patience).await;
+            sleep(timeout).await;
             return AppendOutcome::Unknown;
         }
         sleep(Duration::from_millis(4)).await;
@@ -134,27 +134,30 @@
     }
 
     async fn read(&self, topic: LogTopic, from: u64, wait: Duration) -> ReadOutcome {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             let is_lost = topic == LogTopic::Leadership && self.has(&self.faults.loses_reads);
             if self.has(&self.faults.is_cut) || is_lost {
                 return ReadOutcome::Unknown;
             }
-            let outcome = self.peek(topic, from);
-            let has_news =
+            let outcome = self.read_now(topic, from);
+            let has_records =
                 !matches!(&outcome, ReadOutcome::Read(batch) if batch.records.is_empty());
-            if has_news && topic == LogTopic::Leadership && self.has(&self.faults.cuts_after_news) {
+            if has_records
+                && topic == LogTopic::Leadership
+                && self.has(&self.faults.cuts_after_records)
+            {
                 self.faults.is_cut.store(true, Ordering::Relaxed);
             }
-            if has_news || begun.elapsed() >= wait {
+            if has_records || started.elapsed() >= wait {
                 return outcome;
             }
         }
     }
 
     async fn newest(&self, topic: LogTopic, _: Option<&str>) -> Option<NewestPage> {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
         let named = |name: &str| KeyedRecord { key: name.to_owned(), value: name.into() };
         let records = match topic {
             LogTopic::Workers => vec![(0, named("w0")), (1, named("w1"))],
@@ -176,10 +179,10 @@
 /// The two workers.
 #[derive(Clone)]
 struct TwoWorkers {
-    begun: Instant,
+    started: Instant,
     workers: Arc<Mutex<[SlowWorker; 2]>>,
     /// The only one that the entry reaches.
-    reached: usize,
+    reachable: usize,
     /// Whether renewals that give a lease are carried out late and not answered.
     delays_renewals: Arc<AtomicBool>,
 }
@@ -190,7 +193,7 @@
     }
 
     fn clock_ms(&self) -> u64 {
-        let since = u64::try_from(self.begun.elapsed().as_millis()).expect("a short scene");
+        let since = u64::try_from(self.started.elapsed().as_millis()).expect("a short scene");
         1_000 + since * (100 - SLOW_PERCENT) / 100
     }
 
@@ -199,9 +202,9 @@
     }
 
     /// A call that reaches its worker: its clock.
-    async fn reach(&self, target: &WorkerTarget, patience: Duration) -> Option<u64> {
-        if Self::position(target) != self.reached {
-            sleep(patience).await;
+    async fn call_worker(&self, target: &WorkerTarget, timeout: Duration) -> Option<u64> {
+        if Self::position(target) != self.reachable {
+            sleep(timeout).await;
             return None;
         }
         sleep(Duration::from_millis(1)).await;
@@ -209,7 +212,7 @@
     }
 
     /// Takes a lease and a token; false if the token is an old one.
-    fn take(&self, position: usize, fence: u64, until_ms: u64, clock_ms: u64) -> bool {
+    fn accept_lease(&self, position: usize, fence: u64, until_ms: u64, clock_ms: u64) -> bool {
         let worker = &mut self.workers()[position];
         if fence < worker.fence {
             return false;
@@ -221,7 +224,7 @@
     }
 
     /// The run on a worker, while its lease lasts.
-    fn alive(&self, position: usize) -> Option<(TaskKey, u32)> {
+    fn live_run(&self, position: usize) -> Option<(TaskKey, u32)> {
         let worker = &self.workers()[position];
         worker.running.filter(|_| self.clock_ms() < worker.lease_until_ms)
     }
@@ -232,35 +235,35 @@
         &self,
         target: &WorkerTarget,
         call: &RenewCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<WorkerReport> {
-        let Some(clock_ms) = self.reach(target, patience + call.wait).await else {
+        let Some(clock_ms) = self.call_worker(target, timeout + call.wait).await else {
             return CommandOutcome::Unknown;
         };
         let position = Self::position(target);
         if self.delays_renewals.load(Ordering::Relaxed) && call.lease_until_ms.is_some() {
-            let (late, call) = (self.clone(), *call);
+            let (delayed, call) = (self.clone(), *call);
             tokio::spawn(async move {
-                sleep(LATE).await;
+                sleep(LATE_RENEWAL_DELAY).await;
                 let until_ms = call.lease_until_ms.unwrap_or(0);
-                late.take(position, call.fence, until_ms, late.clock_ms());
+                delayed.accept_lease(position, call.fence, until_ms, delayed.clock_ms());
             });
-            sleep(patience + call.wait).await;
+            sleep(timeout + call.wait).await;
             return CommandOutcome::Unknown;
         }
-        if !self.take(position, call.fence, call.lease_until_ms.unwrap_or(0), clock_ms) {
+        if !self.accept_lease(position, call.fence, call.lease_until_ms.unwrap_or(0), clock_ms) {
             return CommandOutcome::Refused(CommandRefusal::Fenced, Some(clock_ms));
         }
         sleep(call.wait).await;
         let clock_ms = self.clock_ms();
-        let told = self.alive(position).map(|(task, run)| RunningTask {
+        let listed = self.live_run(position).map(|(task, run)| RunningTask {
             task,
             run,
             checkpoint: String::new(),
             percent: 10,
             gauge: None,
         });
-        let running = told.into_iter().collect();
+        let running = listed.into_iter().collect();
         CommandOutcome::Done(WorkerReport { clock_ms, running, ..WorkerReport::default() })
     }
 
@@ -268,13 +271,13 @@
         &self,
         target: &WorkerTarget,
         call: &StartCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<u64> {
-        let Some(clock_ms) = self.reach(target, patience).await else {
+        let Some(clock_ms) = self.call_worker(target, timeout).await else {
             return CommandOutcome::Unknown;
         };
         let position = Self::position(target);
-        if !self.take(position, call.fence, call.lease_until_ms, clock_ms) {
+        if !self.accept_lease(position, call.fence, call.lease_until_ms, clock_ms) {
             return CommandOutcome::Refused(CommandRefusal::Fenced, Some(clock_ms));
         }
         self.workers()[position].running = Some((call.task, call.run));
@@ -285,9 +288,9 @@
         &self,
         target: &WorkerTarget,
         _: &RunCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<u64> {
-        match self.reach(target, patience).await {
+        match self.call_worker(target, timeout).await {
             Some(clock_ms) => CommandOutcome::Done(clock_ms),
             None => CommandOutcome::Unknown,
         }
@@ -298,9 +301,9 @@
         target: &WorkerTarget,
         _: &RunCall,
         _: u32,
-        patience: Duration,
+        timeout: Duration,
     ) -> CommandOutcome<u64> {
-        match self.reach(target, patience).await {
+        match self.call_worker(target, timeout).await {
             Some(clock_ms) => CommandOutcome::Done(clock_ms),
             None => CommandOutcome::Unknown,
         }
@@ -308,9 +311,9 @@
 }
 
 #[derive(Clone)]
-struct Nobody;
+struct NoServices;
 
-impl VmClient for Nobody {
+impl VmClient for NoServices {
     async fn list(&self) -> Option<Vec<VmEntry>> {
         None
     }
@@ -320,7 +323,7 @@
     }
 }
 
-impl PermitClient for Nobody {
+impl PermitClient for NoServices {
     async fn ask(&self, _: &StepKey, _: &[Arc<str>]) -> Option<PermitGrant> {
         None
     }
@@ -330,7 +333,7 @@
 struct LeadingEntry {
     node: Arc<JobNode>,
     faults: Arc<LinkFaults>,
-    _leading: JoinHandle<()>,
+    _leading_task: JoinHandle<()>,
 }
 
 impl LeadingEntry {
@@ -344,8 +347,8 @@
         let parts = ConductorParts {
             log: link,
             workers,
-            vms: Nobody,
-            permits: Nobody,
+            vms: NoServices,
+            permits: NoServices,
             worker_decoder: |record| Some(worker(&record.key, &record.key)),
             wave_encoder: |_, _| None,
         };
@@ -359,21 +362,21 @@
             append_timeout: TimeoutEstimator::new(APPEND_TIMEOUT),
             pending: None,
         };
-        let _leading = tokio::spawn(async move {
+        let _leading_task = tokio::spawn(async move {
             loop {
                 let pause = leadership.step().await;
                 sleep(pause.max(Duration::from_millis(1))).await;
             }
         });
-        LeadingEntry { node, faults, _leading }
+        LeadingEntry { node, faults, _leading_task }
     }
 
-    fn leads(&self) -> bool {
+    fn is_leading(&self) -> bool {
         self.node.with_scheduler(|_| ()).is_some()
     }
 
     /// Whether its leadership was confirmed just now.
-    fn is_sure(&self) -> bool {
+    fn is_confirmed(&self) -> bool {
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| scheduler.may_command_vms(now)).unwrap_or(false)
     }
@@ -388,35 +391,36 @@
 }
 
 /// Two entries and a task that runs where only the first reaches it.
-struct Scene {
+struct Scenario {
     shared: Arc<Mutex<SharedLog>>,
     workers: TwoWorkers,
     old: LeadingEntry,
     new: LeadingEntry,
 }
 
-impl Scene {
+impl Scenario {
     /// Two entries, the first of which leads, and no task.
-    async fn idle() -> Scene {
+    async fn idle() -> Scenario {
         let shared = Arc::<Mutex<SharedLog>>::default();
         let delays_renewals = Arc::default();
-        let begun = Instant::now();
-        let workers = TwoWorkers { begun, workers: Arc::default(), reached: 0, delays_renewals };
+        let started = Instant::now();
+        let workers =
+            TwoWorkers { started, workers: Arc::default(), reachable: 0, delays_renewals };
         let link = || LogLink { shared: shared.clone(), ..LogLink::default() };
         let old = LeadingEntry::begin("front-1", link(), workers.clone());
-        wait_for("a leader", || old.leads()).await;
-        let reached = TwoWorkers { reached: 1, ..workers.clone() };
-        let new = LeadingEntry::begin("front-2", link(), reached);
+        wait_for("a leader", || old.is_leading()).await;
+        let reachable = TwoWorkers { reachable: 1, ..workers.clone() };
+        let new = LeadingEntry::begin("front-2", link(), reachable);
         sleep(Duration::from_secs(1)).await;
-        Scene { shared, workers, old, new }
+        Scenario { shared, workers, old, new }
     }
 
-    async fn open() -> Scene {
-        let scene = Scene::idle().await;
-        scene.submit().await;
+    async fn with_running_task() -> Scenario {
+        let scenario = Scenario::idle().await;
+        scenario.submit().await;
         sleep(Duration::from_secs(1)).await;
-        assert!(scene.old.is_sure() && !scene.new.leads());
-        scene
+        assert!(scenario.old.is_confirmed() && !scenario.new.is_leading());
+        scenario
     }
 
     /// Hands a long task to the first entry, which starts it.
@@ -426,22 +430,22 @@
         self.old.node.jobs_shown(self.old.node.now());
         // It is stored when the task runs.
         let _ = self.old.node.relay(vec![record]);
-        wait_for("the task to run", || self.workers.alive(0).is_some()).await;
+        wait_for("the task to run", || self.workers.live_run(0).is_some()).await;
     }
 
     /// A renewal of the old leader is stored, and its answer lost; it can't read the stream before the time is over,
     /// and is cut off for good as soon as it has.
-    async fn find_renewal_after(&self, time: Duration, is_away_for_all: bool) {
+    async fn delay_reading_of_renewal(&self, time: Duration, is_log_down: bool) {
         self.old.set(|faults| &faults.loses_answers, true);
         self.old.set(|faults| &faults.loses_reads, true);
-        self.old.set(|faults| &faults.cuts_after_news, true);
+        self.old.set(|faults| &faults.cuts_after_records, true);
         let unanswered = || self.old.faults.unanswered.load(Ordering::Relaxed);
         wait_for("a renewal", || unanswered() == 1).await;
         let stored = Instant::now();
         sleep(Duration::from_millis(50)).await;
-        self.new.set(|faults| &faults.is_cut, is_away_for_all);
+        self.new.set(|faults| &faults.is_cut, is_log_down);
         sleep(time - stored.elapsed()).await;
-        assert!(!self.old.is_sure());
+        assert!(!self.old.is_confirmed());
         self.new.set(|faults| &faults.is_cut, false);
         self.old.set(|faults| &faults.loses_reads, false);
         wait_for("the renewal to be read", || self.old.has(|faults| &faults.is_cut)).await;
@@ -449,18 +453,18 @@
     }
 
     /// How long two runs of the task were alive at the same time.
-    async fn doubled(&self) -> Duration {
-        wait_for("a second run", || self.workers.alive(1).is_some()).await;
-        let begun = Instant::now();
-        wait_for("the first run to end", || self.workers.alive(0).is_none()).await;
-        begun.elapsed()
+    async fn overlap(&self) -> Duration {
+        wait_for("a second run", || self.workers.live_run(1).is_some()).await;
+        let started = Instant::now();
+        wait_for("the first run to end", || self.workers.live_run(0).is_none()).await;
+        started.elapsed()
     }
 }
 
 async fn wait_for(what: &str, holds: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < SCENE, "waited in vain for {what}");
+        assert!(started.elapsed() < SCENARIO_TIMEOUT, "waited in vain for {what}");
         sleep(Duration::from_millis(1)).await;
     }
 }
@@ -468,44 +472,44 @@
 /// Guards against a leader that counts a renewal without an answer from a later try, so that it extends leases for
 /// longer than its successor waits.
 #[tokio::test(start_paused = true)]
-async fn a_renewal_that_is_found_late_counts_from_when_it_was_sent() {
-    let scene = Scene::open().await;
-    scene.find_renewal_after(Duration::from_millis(1_250), false).await;
-    assert_eq!(scene.doubled().await, Duration::ZERO);
+async fn a_renewal_that_is_read_late_counts_from_when_it_was_sent() {
+    let scenario = Scenario::with_running_task().await;
+    scenario.delay_reading_of_renewal(Duration::from_millis(1_250), false).await;
+    assert_eq!(scenario.overlap().await, Duration::ZERO);
 }
 
 /// Guards against the same where the log was away for both entries meanwhile: the successor claims by a renewal that
 /// it read before.
 #[tokio::test(start_paused = true)]
-async fn a_renewal_that_is_found_after_an_outage_counts_from_when_it_was_sent() {
-    let scene = Scene::open().await;
-    scene.find_renewal_after(Duration::from_secs(4), true).await;
-    assert_eq!(scene.doubled().await, Duration::ZERO);
+async fn a_renewal_that_is_read_after_an_outage_counts_from_when_it_was_sent() {
+    let scenario = Scenario::with_running_task().await;
+    scenario.delay_reading_of_renewal(Duration::from_secs(4), true).await;
+    assert_eq!(scenario.overlap().await, Duration::ZERO);
 }
 
 /// Guards against a leader that takes itself for confirmed by a stream from which a later claim has gone.
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_has_missed_records_does_not_lead_on() {
-    let scene = Scene::open().await;
-    scene.old.set(|faults| &faults.is_cut, true);
-    wait_for("a successor", || scene.new.is_sure()).await;
+async fn a_leader_that_missed_records_stops_leading() {
+    let scenario = Scenario::with_running_task().await;
+    scenario.old.set(|faults| &faults.is_cut, true);
+    wait_for("a successor", || scenario.new.is_confirmed()).await;
     sleep(Duration::from_secs(1)).await;
     {
-        let mut shared = scene.shared.lock().expect("no panic before");
+        let mut shared = scenario.shared.lock().expect("no panic before");
         shared.first = shared.leadership.end;
     }
-    scene.old.set(|faults| &faults.is_cut, false);
+    scenario.old.set(|faults| &faults.is_cut, false);
     for _ in 0..2_000 {
         sleep(Duration::from_millis(1)).await;
-        assert!(!scene.old.is_sure(), "two leaders");
+        assert!(!scenario.old.is_confirmed(), "two leaders");
     }
-    assert!(!scene.old.leads() && scene.new.is_sure());
+    assert!(!scenario.old.is_leading() && scenario.new.is_confirmed());
 }
 
 /// Guards against an entry that takes a leader for resigned, and claims beside the one that renews, as it has not read
 /// the claim between.
 #[test]
-fn a_renewal_tells_who_leads_where_the_claim_was_not_read() {
+fn a_renewal_shows_the_leader_if_its_claim_was_not_read() {
     let record = |act, name: &str| LeadershipRecord {
         act,
         holder: name.into(),
@@ -528,12 +532,12 @@
 /// Guards against a lease that a worker with a slow clock, which was idle for long, takes late and holds for longer than
 /// a successor waits.
 #[tokio::test(start_paused = true)]
-async fn a_late_renewal_of_a_worker_that_was_idle_outlives_no_successors_wait() {
-    let scene = Scene::idle().await;
+async fn a_late_renewal_of_an_idle_worker_expires_within_the_successors_wait() {
+    let scenario = Scenario::idle().await;
     sleep(Duration::from_secs(90)).await;
-    scene.workers.delays_renewals.store(true, Ordering::Relaxed);
-    scene.old.set(|faults| &faults.loses_appends, true);
+    scenario.workers.delays_renewals.store(true, Ordering::Relaxed);
+    scenario.old.set(|faults| &faults.loses_appends, true);
     sleep(Duration::from_millis(1_100)).await;
-    scene.submit().await;
-    assert_eq!(scene.doubled().await, Duration::ZERO);
+    scenario.submit().await;
+    assert_eq!(scenario.overlap().await, Duration::ZERO);
 }
