--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,4 +1,4 @@
-//! An entry claims the leadership, and the log gives no answer.
+//! Claims of the leadership whose answers are lost, and an entry that succeeds itself.
 
 mod support;
 
@@ -26,15 +26,15 @@
 use support::sim::{config, site_settings};
 use tokio::time::{Instant, sleep};
 
-/// A leadership stream that stores the first append and loses its answer.
+/// Leadership stream that stores the first append and loses its answer.
 #[derive(Clone, Default)]
 struct LossyLog {
     records: Arc<Mutex<Vec<Vec<u8>>>>,
-    /// Whether another entry claims just before the second append.
+    /// Whether another entry claims the leadership just before the second append.
     has_rival: bool,
-    /// Whether the first append is answered like the others.
+    /// Whether the first append is answered too.
     answers_all: bool,
-    /// Whether writers of the job log are told that a later leader has shut them out.
+    /// Whether appends to the job log are answered as fenced by a later leader.
     is_fenced: Arc<AtomicBool>,
 }
 
@@ -43,7 +43,8 @@
         self.records.lock().expect("no panic before")
     }
 
-    /// Stores a record if the stream ends where the call says; where it ended before.
+    /// Stores the record if the stream ends at the expected offset. Returns the end of the stream
+    /// before the append, as an error if it isn't the expected one.
     fn store(&self, call: &AppendCall) -> Result<u64, u64> {
         let mut records = self.records();
         if self.has_rival && records.len() == 1 {
@@ -59,7 +60,7 @@
 
     fn claims(&self) -> usize {
         let is_claim = |value: &&Vec<u8>| {
-            let record: LeadershipRecord = postcard::from_bytes(value).expect("our own record");
+            let record: LeadershipRecord = postcard::from_bytes(value).expect("a valid record");
             record.act == LeadershipAct::Claim
         };
         self.records().iter().filter(is_claim).count()
@@ -118,7 +119,7 @@
     }
 }
 
-/// VMs and a policy service that nobody reaches.
+/// Client of a VM service and a policy service that give no results.
 #[derive(Clone)]
 struct NoServices;
 
@@ -163,9 +164,9 @@
     }
 }
 
-/// The log stores a claim and loses the answer. The entry reads its own claim and begins to lead at
-/// once. Before, it took nobody for the leader, all others took it for that, and no job was placed
-/// until the silence of a leader that was none had been noticed.
+/// Guards against an entry that ignores its own claim if the log stored it and lost the answer. All
+/// other entries would consider it the leader, and no job would be placed until its renewal timeout.
+/// It has to read its claim and start to lead at once.
 #[tokio::test(start_paused = true)]
 async fn an_entry_leads_by_a_stored_claim_whose_answer_was_lost() {
     let log = LossyLog::default();
@@ -180,8 +181,8 @@
     assert_eq!(log.claims(), 1);
 }
 
-/// The same, and another entry has claimed by the time that the first claim is read: the first entry
-/// must not begin, since its term is over.
+/// Guards against an entry that resumes its claim although another entry has claimed by the time that
+/// it reads it: its term is over.
 #[tokio::test(start_paused = true)]
 async fn a_claim_followed_by_another_entrys_claim_is_not_resumed() {
     let log = LossyLog { has_rival: true, ..LossyLog::default() };
@@ -195,9 +196,11 @@
     assert_eq!(leadership.view.term, 2);
 }
 
-/// A leader's term ends in itself after it has renewed for a while: something has refused its token. Nobody else leads, so the entry claims anew at once. Its runs may have leases for as long after its last
-/// renewal as those of any leader before; counted from its first claim, which is all that the entry itself reads,
-/// they would be taken for over and started once more beside those that run.
+/// Guards against second runs when an entry succeeds itself. Its term ends by itself after a number of
+/// renewals, since its token was refused. No other entry leads, so it claims again at once. As with any
+/// previous leader, leases of its runs count from its last renewal. Counted from its first claim, the
+/// only record that the entry itself reads, they would seem expired, and the tasks would be started
+/// again beside the running ones.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_succeeds_itself_counts_leases_from_its_last_renewal() {
     let log = LossyLog { answers_all: true, ..LossyLog::default() };
@@ -216,13 +219,13 @@
         sleep(pause.clamp(Duration::from_millis(1), Duration::from_millis(20))).await;
         assert!(leadership.node.now() < renewed_ms + 2_000, "the term does not end");
     }
-    let previous = leadership.view.predecessor(&leadership.own).expect("a leader before");
+    let previous = leadership.view.predecessor(&leadership.own).expect("a previous leader");
     assert!(previous.seen_ms + RENEWAL_INTERVAL_MS >= renewed_ms, "{previous:?} at {renewed_ms}");
     let ended = Instant::now();
     while leadership.conductor.is_none() {
         let pause = leadership.step().await;
         sleep(pause.clamp(Duration::from_millis(1), Duration::from_millis(20))).await;
-        assert!(ended.elapsed() < Duration::from_millis(200), "nobody leads");
+        assert!(ended.elapsed() < Duration::from_millis(200), "no entry leads");
     }
     assert_eq!(log.claims(), 2);
 }
--- a/tests/command_flow.rs
+++ b/tests/command_flow.rs
@@ -1,4 +1,4 @@
-//! Commands that don't get through wait in the process, not on the link.
+//! The command window and flow control: excess commands wait in the process, not on the link.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Answers come within a few milliseconds however many commands are under way: the window opens until
-/// nothing waits for it any more.
+/// Answers come within a few milliseconds regardless of the number of commands in flight, so the
+/// window grows until no command waits for it.
 #[test]
 fn the_window_grows_while_answers_are_fast() {
     let mut window = CommandWindow::default();
@@ -19,7 +19,8 @@
     assert!(window.size() >= 1_000, "{}", window.size());
 }
 
-/// A window that nobody waits for stays as it is: it says nothing about what would fit.
+/// While no command waits, fast answers are no evidence that more commands would fit, so the window
+/// keeps its size.
 #[test]
 fn an_unused_window_does_not_grow() {
     let mut window = CommandWindow::default();
@@ -30,8 +31,8 @@
     assert_eq!(window.size(), before);
 }
 
-/// A rack is dead, a third of all workers: each of their commands costs a whole time limit. The others' answers
-/// come fast, and the window stays open for them.
+/// A dead rack holds a third of all workers, and each command to them costs a whole timeout. The other
+/// workers answer fast, so the window must not shrink.
 #[test]
 fn dead_workers_do_not_shrink_the_window() {
     let mut window = CommandWindow::default();
@@ -44,7 +45,8 @@
     assert!(window.size() >= before, "{}", window.size());
 }
 
-/// The line is so long that no command is answered in time: the window closes all the same.
+/// The queue is so long that no command is answered before its timeout. The window must shrink even
+/// without answers.
 #[test]
 fn a_queue_longer_than_every_timeout_shrinks_the_window() {
     let mut window = CommandWindow::default();
@@ -58,8 +60,8 @@
     assert!(window.size() * 4 < before, "{}", window.size());
 }
 
-/// A busy leader answers its own timers some tens of milliseconds late. That is no line: commits and renewals, which
-/// every step of a job waits for, must not be put off for it. A line of a fifth of a second is one.
+/// Timers of a busy leader fire some tens of milliseconds late. That delay is no queue and must not
+/// postpone commits and renewals, which every step of a job waits for. A delay of 200 ms is a queue.
 #[test]
 fn the_delay_of_a_busy_process_is_no_queue_delay() {
     let mut window = CommandWindow::default();
@@ -74,8 +76,8 @@
     assert!((80..=200).contains(&window.queue_delay_ms(1_200)), "{}", window.queue_delay_ms(1_200));
 }
 
-/// The line was long when other entries took over all starts. No answer tells since how it is: what was put off
-/// because of it must not stay so.
+/// The queue was long when other entries took over all starts. Without new answers its delay is
+/// unknown, so commits and renewals that it postponed must not stay postponed.
 #[test]
 fn the_queue_delay_expires_without_new_answers() {
     let mut window = CommandWindow::default();
@@ -87,10 +89,10 @@
     assert_eq!(window.queue_delay_ms(4_000), 0);
 }
 
-/// A link that has carried 5,000 starts a second carries 250 from one moment to the next, in a burst. Each start
-/// is answered when all before it have gone through. Sent all at once the last would be answered after 8 s,
-/// long after it was given up; held back, none waits on the link for longer than it is waited for, once what
-/// was under way has gone through.
+/// The rate of a link drops abruptly from 5,000 starts per second to 250 during a burst. Each start is
+/// answered once all earlier ones have passed the link. If all were sent at once, the last would be
+/// answered after 8 s, long after its timeout. With flow control no start waits on the link for longer
+/// than its timeout, once the commands that were in flight have passed.
 #[tokio::test(start_paused = true)]
 async fn a_burst_beyond_the_capacity_of_the_link_is_held_back() {
     const FAST: Duration = Duration::from_micros(200);
@@ -118,14 +120,14 @@
         });
     }
     let ended = starts.join_all().await;
-    // The link was busy all the time, so holding back has cost nothing.
+    // The link was busy all the time, so flow control has cost no throughput.
     assert!(started.elapsed() < EACH * 2_000 + Duration::from_secs(1), "{:?}", started.elapsed());
     let longest = ended.iter().filter(|(sent, _)| *sent >= SETTLED).map(|(_, delay)| *delay).max();
     assert!(longest < Some(Duration::from_millis(450)), "{longest:?}");
 }
 
-/// While commands wait, only as many starts are decided as go out in a few tenths of a second; when none
-/// waits any more, there is no bound.
+/// While commands wait, the scheduler may place only as many starts as can be sent within a few tenths
+/// of a second. Once no command waits, there is no limit.
 #[tokio::test(start_paused = true)]
 async fn queued_commands_limit_further_starts() {
     let flow = Arc::new(CommandFlow::default());
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -1,4 +1,5 @@
-//! What a new leader knows counts from when it was known, not from when it was read in.
+//! Views that a new leader has of jobs and workers age from when the log confirmed them, not from when
+//! the leader finished reading.
 
 mod support;
 
@@ -24,17 +25,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// A log that answers at once, but for what the test holds up.
+/// Log that answers at once, except for calls that the test delays or blocks.
 #[derive(Clone, Default)]
 struct DelayedLog {
     ends: Arc<Mutex<[u64; 2]>>,
-    /// Time that the first reading of the workers takes, in milliseconds.
+    /// Duration of the first read of the workers, in milliseconds.
     first_read_ms: Arc<AtomicU64>,
-    /// Whether the workers are not read on.
+    /// Whether later reads of the workers fail.
     blocks_worker_reads: Arc<AtomicBool>,
-    /// Time that an answer with news of the workers is on its way, in milliseconds; 0 where there is no news.
+    /// Delay of an answer with a new worker record, in milliseconds; 0 for no new records.
     records_delay_ms: Arc<AtomicU64>,
-    /// Whether claims and renewals are not answered any more.
+    /// Whether claims and renewals get no answer.
     blocks_leadership: Arc<AtomicBool>,
 }
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// A worker that does what it is told.
+/// Worker that accepts every command.
 #[derive(Clone, Default)]
 struct AcceptingWorker {
     starts: Arc<AtomicU64>,
@@ -142,17 +143,17 @@
     }
 }
 
-/// An entry that takes over, with one job that waits. Nobody reads the job log for it but the takeover itself.
+/// An entry that takes over, with one waiting job. Only the takeover itself reads the job log.
 struct Takeover {
     node: Arc<JobNode>,
     log: DelayedLog,
     worker: AcceptingWorker,
-    /// Ends with it.
+    /// Runs the leadership loop.
     _leading_task: JoinHandle<()>,
 }
 
 impl Takeover {
-    /// One that waits for the workers for so long.
+    /// Starts a takeover whose first read of the workers takes this long.
     fn begin(config: SiteConfig, first_read_ms: u64) -> Takeover {
         let logger = ibisweir::logging::silent();
         let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
@@ -189,7 +190,7 @@
         Takeover { node, log, worker: worker_client, _leading_task }
     }
 
-    /// Whether it has started anything by that time from now.
+    /// Whether any task was started by the end of this time from now.
     async fn starts_within(&self, ms: u64) -> bool {
         sleep(Duration::from_millis(ms)).await;
         self.worker.starts.load(Ordering::Relaxed) > 0
@@ -203,26 +204,26 @@
     SiteConfig { pools, ..config }
 }
 
-/// Guards against a leader that takes a view of the jobs for new which is from before a slow reading of the workers:
-/// a job that was cancelled meanwhile would start.
+/// Guards against a leader that treats its view of the jobs as fresh although a slow read of the
+/// workers came after it: a job that was cancelled in between would start.
 #[tokio::test(start_paused = true)]
 async fn a_takeover_with_a_stale_job_view_starts_nothing() {
     let old_ms = bounds().cancel_ms / 2 + 100;
     let takeover = Takeover::begin(config(), old_ms);
     assert!(!takeover.starts_within(old_ms + 700).await);
-    assert!(takeover.node.with_scheduler(|_| ()).is_some(), "it has taken over");
+    assert!(takeover.node.with_scheduler(|_| ()).is_some(), "the takeover is complete");
     takeover.node.jobs_shown(takeover.node.now());
     assert!(takeover.starts_within(200).await, "it starts as soon as the log was read");
 }
 
-/// Guards against a takeover that waits for another reading though what it knows of the jobs is new.
+/// Guards against a takeover that waits for another read although its view of the jobs is fresh.
 #[tokio::test(start_paused = true)]
 async fn a_quick_takeover_starts_waiting_jobs() {
     let takeover = Takeover::begin(config(), 100);
     assert!(takeover.starts_within(1_200).await);
 }
 
-/// Guards against a takeover that waits although the job log was read while it waited for the workers.
+/// Guards against a takeover that waits although the job log was read during its read of the workers.
 #[tokio::test(start_paused = true)]
 async fn a_read_of_the_job_log_during_a_takeover_counts() {
     let old_ms = bounds().cancel_ms / 2 + 100;
@@ -232,8 +233,8 @@
     assert!(takeover.starts_within(900).await);
 }
 
-/// Guards against two leaders at work: one that was last confirmed before a slow reading of the workers starts
-/// tasks when a successor may have begun.
+/// Guards against two active leaders: one whose last confirmation came before a slow read of the
+/// workers would start tasks when a successor may have started leading.
 #[tokio::test(start_paused = true)]
 async fn a_takeover_that_is_no_longer_confirmed_starts_nothing() {
     let takeover = Takeover::begin(config(), 2_000);
@@ -247,7 +248,7 @@
     }
 }
 
-/// Guards against a start over the room of a worker that shrank while the workers were read.
+/// Guards against a start beyond the capacity of a worker that shrank while the workers were read.
 #[tokio::test(start_paused = true)]
 async fn a_takeover_with_a_stale_worker_view_starts_nothing_without_admission_check() {
     for (config, has_admission_check) in
@@ -267,8 +268,8 @@
     }
 }
 
-/// Guards against the same by an answer with news that is long on its way, as on a weak link: what it shows is as old as
-/// the question may be.
+/// Guards against the same if an answer with a new record takes long, as on a weak link: its content
+/// may be as old as the request.
 #[tokio::test(start_paused = true)]
 async fn slowly_delivered_worker_records_start_nothing_without_admission_check() {
     let takeover = Takeover::begin(config_without_admission_check(), 2_200);
@@ -277,6 +278,6 @@
         takeover.node.jobs_shown(takeover.node.now());
         sleep(Duration::from_millis(100)).await;
     }
-    assert!(takeover.node.with_scheduler(|_| ()).is_some(), "it has taken over");
+    assert!(takeover.node.with_scheduler(|_| ()).is_some(), "the takeover is complete");
     assert!(!takeover.starts_within(0).await);
 }
--- a/tests/two_leaders.rs
+++ b/tests/two_leaders.rs
@@ -1,4 +1,5 @@
-//! An old leader and its successor, each of which reaches a worker that the other does not.
+//! Two leaders in succession, each of which can reach a worker that the other can't: no two runs of a
+//! task may overlap.
 
 mod support;
 
@@ -28,42 +29,42 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Time between two looks at a stream that is read with a wait.
+/// Interval between two polls of a stream by a read with a wait.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest time of the scene.
+/// Timeout of each wait in a scenario.
 const SCENARIO_TIMEOUT: Duration = Duration::from_secs(40);
-/// Time after which a renewal that is carried out late is.
+/// Delay after which a late renewal takes effect.
 const LATE_RENEWAL_DELAY: Duration = Duration::from_millis(2_500);
-/// Rate by which the clocks of workers are slow, in percent: as much as they may be.
+/// Rate by which the clocks of workers are slow, in percent; the largest allowed rate.
 const SLOW_PERCENT: u64 = 2;
 
-/// The streams that both entries use.
+/// Streams that both entries use.
 #[derive(Default)]
 struct SharedLog {
     jobs: SiteLog,
     leadership: SiteLog,
-    /// Leadership records before this offset are forgotten.
+    /// Leadership records before this offset have expired.
     first: u64,
 }
 
-/// What happens to an entry's calls to the log.
+/// Faults of an entry's calls to the log.
 #[derive(Default)]
 struct LinkFaults {
     /// Leadership appends are stored and their answers lost.
     loses_answers: AtomicBool,
-    /// Leadership appends get nowhere.
+    /// Leadership appends are lost.
     loses_appends: AtomicBool,
     /// Leadership can't be read.
     loses_reads: AtomicBool,
-    /// No call gets there.
+    /// All calls are lost.
     is_cut: AtomicBool,
-    /// No call gets there once the leadership was read to a record.
+    /// All calls are lost from the first leadership read that returned a record.
     cuts_after_records: AtomicBool,
-    /// Leadership appends that were stored and not answered.
+    /// Number of leadership appends that were stored and not answered.
     unanswered: AtomicUsize,
 }
 
-/// An entry's way to the log.
+/// An entry's link to the log.
 #[derive(Clone, Default)]
 struct LogLink {
     shared: Arc<Mutex<SharedLog>>,
@@ -168,7 +169,7 @@
     }
 }
 
-/// A worker with a slow clock that runs what it is told and never ends it.
+/// Worker with a slow clock that accepts every start and never ends a run.
 #[derive(Default)]
 struct SlowWorker {
     fence: u64,
@@ -181,9 +182,9 @@
 struct TwoWorkers {
     started: Instant,
     workers: Arc<Mutex<[SlowWorker; 2]>>,
-    /// The only one that the entry reaches.
+    /// Index of the only worker that the entry can reach.
     reachable: usize,
-    /// Whether renewals that give a lease are carried out late and not answered.
+    /// Whether renewals that grant a lease take effect late and get no answer.
     delays_renewals: Arc<AtomicBool>,
 }
 
@@ -193,7 +194,7 @@
     }
 
     fn clock_ms(&self) -> u64 {
-        let since = u64::try_from(self.started.elapsed().as_millis()).expect("a short scene");
+        let since = u64::try_from(self.started.elapsed().as_millis()).expect("a short scenario");
         1_000 + since * (100 - SLOW_PERCENT) / 100
     }
 
@@ -201,7 +202,8 @@
         usize::from(&*target.id == "w1")
     }
 
-    /// A call that reaches its worker: its clock.
+    /// Makes a call. Returns the clock of the worker, or `None` after the timeout if the entry can't
+    /// reach it.
     async fn call_worker(&self, target: &WorkerTarget, timeout: Duration) -> Option<u64> {
         if Self::position(target) != self.reachable {
             sleep(timeout).await;
@@ -211,7 +213,7 @@
         Some(self.clock_ms())
     }
 
-    /// Takes a lease and a token; false if the token is an old one.
+    /// Accepts a lease and a fencing token; false if the token is outdated.
     fn accept_lease(&self, position: usize, fence: u64, until_ms: u64, clock_ms: u64) -> bool {
         let worker = &mut self.workers()[position];
         if fence < worker.fence {
@@ -223,7 +225,7 @@
         true
     }
 
-    /// The run on a worker, while its lease lasts.
+    /// The run on a worker, until its lease expires.
     fn live_run(&self, position: usize) -> Option<(TaskKey, u32)> {
         let worker = &self.workers()[position];
         worker.running.filter(|_| self.clock_ms() < worker.lease_until_ms)
@@ -329,7 +331,7 @@
     }
 }
 
-/// An entry that may lead, and the worker that it reaches.
+/// An entry that may lead.
 struct LeadingEntry {
     node: Arc<JobNode>,
     faults: Arc<LinkFaults>,
@@ -375,7 +377,7 @@
         self.node.with_scheduler(|_| ()).is_some()
     }
 
-    /// Whether its leadership was confirmed just now.
+    /// Whether its leadership was confirmed recently enough to send commands.
     fn is_confirmed(&self) -> bool {
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| scheduler.may_command_vms(now)).unwrap_or(false)
@@ -390,7 +392,7 @@
     }
 }
 
-/// Two entries and a task that runs where only the first reaches it.
+/// Two entries, and a task on a worker that only the first can reach.
 struct Scenario {
     shared: Arc<Mutex<SharedLog>>,
     workers: TwoWorkers,
@@ -399,7 +401,7 @@
 }
 
 impl Scenario {
-    /// Two entries, the first of which leads, and no task.
+    /// Starts two entries, the first of which leads, without a task.
     async fn idle() -> Scenario {
         let shared = Arc::<Mutex<SharedLog>>::default();
         let delays_renewals = Arc::default();
@@ -423,18 +425,18 @@
         scenario
     }
 
-    /// Hands a long task to the first entry, which starts it.
+    /// Submits a long task to the first entry and waits until it runs.
     async fn submit(&self) {
         let long = StepSpec { estimate_ms: 60_000, ..step(1) };
         let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![long]))));
         self.old.node.jobs_shown(self.old.node.now());
-        // It is stored when the task runs.
+        // The record is stored by the time the task runs.
         let _ = self.old.node.relay(vec![record]);
         wait_for("the task to run", || self.workers.live_run(0).is_some()).await;
     }
 
-    /// A renewal of the old leader is stored, and its answer lost; it can't read the stream before the time is over,
-    /// and is cut off for good as soon as it has.
+    /// Stores a renewal of the old leader and loses its answer. The old leader can read the stream only
+    /// after `time`, and is cut off for good once it has.
     async fn delay_reading_of_renewal(&self, time: Duration, is_log_down: bool) {
         self.old.set(|faults| &faults.loses_answers, true);
         self.old.set(|faults| &faults.loses_reads, true);
@@ -452,7 +454,7 @@
         assert_eq!(unanswered(), 1, "no other renewal is stored");
     }
 
-    /// How long two runs of the task were alive at the same time.
+    /// How long two runs of the task were live at the same time.
     async fn overlap(&self) -> Duration {
         wait_for("a second run", || self.workers.live_run(1).is_some()).await;
         let started = Instant::now();
@@ -464,12 +466,12 @@
 async fn wait_for(what: &str, holds: impl Fn() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < SCENARIO_TIMEOUT, "waited in vain for {what}");
+        assert!(started.elapsed() < SCENARIO_TIMEOUT, "timeout while waiting for {what}");
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Guards against a leader that counts a renewal without an answer from a later try, so that it extends leases for
+/// Guards against a leader that dates an unanswered renewal by a later try, and so extends leases for
 /// longer than its successor waits.
 #[tokio::test(start_paused = true)]
 async fn a_renewal_that_is_read_late_counts_from_when_it_was_sent() {
@@ -478,8 +480,8 @@
     assert_eq!(scenario.overlap().await, Duration::ZERO);
 }
 
-/// Guards against the same where the log was away for both entries meanwhile: the successor claims by a renewal that
-/// it read before.
+/// Guards against the same if neither entry could reach the log in between: the successor's wait counts
+/// from the renewal that it read before the outage.
 #[tokio::test(start_paused = true)]
 async fn a_renewal_that_is_read_after_an_outage_counts_from_when_it_was_sent() {
     let scenario = Scenario::with_running_task().await;
@@ -487,7 +489,7 @@
     assert_eq!(scenario.overlap().await, Duration::ZERO);
 }
 
-/// Guards against a leader that takes itself for confirmed by a stream from which a later claim has gone.
+/// Guards against a leader that considers itself confirmed by a stream whose newer claim has expired.
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_missed_records_stops_leading() {
     let scenario = Scenario::with_running_task().await;
@@ -506,8 +508,8 @@
     assert!(!scenario.old.is_leading() && scenario.new.is_confirmed());
 }
 
-/// Guards against an entry that takes a leader for resigned, and claims beside the one that renews, as it has not read
-/// the claim between.
+/// Guards against an entry that considers the leader resigned and claims beside one that renews, since
+/// it has not read the claim in between.
 #[test]
 fn a_renewal_shows_the_leader_if_its_claim_was_not_read() {
     let record = |act, name: &str| LeadershipRecord {
@@ -529,8 +531,8 @@
     assert_eq!(view.claim_in_ms(&own("c"), false, 30_100), Some(RENEWAL_TIMEOUT_MS));
 }
 
-/// Guards against a lease that a worker with a slow clock, which was idle for long, takes late and holds for longer than
-/// a successor waits.
+/// Guards against a lease that outlasts the successor's wait: a worker with a slow clock, idle for a
+/// long time, accepts it late.
 #[tokio::test(start_paused = true)]
 async fn a_late_renewal_of_an_idle_worker_expires_within_the_successors_wait() {
     let scenario = Scenario::idle().await;
