--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -44,7 +44,7 @@
         let node = node_with(site_settings());
         let mut before = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
         before.submit(1, job(vec![step(1)]));
-        succeed(&node, &before.book);
+        succeed(&node, &before.job_table);
         LaneStage::open_on(node, AnswerMode::Done)
     }
 
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -128,11 +128,11 @@
         now: sim.now,
         wall_ms,
     };
-    let mut successor = Scheduler::open(start, &sim.book);
+    let mut successor = Scheduler::open(start, &sim.job_table);
     successor.tick(sim.now, wall_ms);
     while let Some(batch) = successor.take_commit() {
         for record in &batch.decoded {
-            sim.book.fold(record, sim.end);
+            sim.job_table.fold(record, sim.end);
             sim.end += 1;
         }
         successor.committed(&batch, sim.now);
@@ -233,19 +233,19 @@
     sim.is_log_up = false;
     sim.advance(bounds().status_ms + 31_000);
     sim.scheduler.relay(7, vec![JobRecord::Cancelled(id)], sim.now);
-    let mut book = JobTable::default();
+    let mut job_table = JobTable::default();
     let mut end = START_MS;
     let mut is_acknowledged = false;
     while let Some(batch) = sim.scheduler.take_commit() {
         for record in &batch.decoded {
-            book.fold(record, end);
+            job_table.fold(record, end);
             end += 1;
         }
         is_acknowledged |= batch.relayed.contains(&7);
         sim.scheduler.committed(&batch, sim.now);
     }
     assert!(is_acknowledged);
-    assert!(book.get(id).is_some_and(|job| job.is_cancelled));
+    assert!(job_table.get(id).is_some_and(|job| job.is_cancelled));
 }
 
 /// Guards against work that lapses as its lease was that of its start: all that its worker has is to be stopped and was
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -293,7 +293,7 @@
     let first = maintained(&sim);
     assert_eq!(first.len(), 1);
 
-    let done = sim.book.maintained(1);
+    let done = sim.job_table.maintained(1);
     assert_eq!(done, first);
     sim.take_over(2, config());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
@@ -314,7 +314,7 @@
     sim.advance(1_000);
     assert_eq!(sim.wave_statuses.last(), Some(&(1, true)));
 
-    let done = sim.book.maintained(1);
+    let done = sim.job_table.maintained(1);
     sim.take_over(2, config());
     sim.wave_statuses.clear();
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
--- a/tests/scheduler_lag.rs
+++ b/tests/scheduler_lag.rs
@@ -199,8 +199,8 @@
         let end = sim.now + 3_000;
         while sim.now < end {
             sim.advance(20);
-            if sim.lists_asked > seen {
-                seen = sim.lists_asked;
+            if sim.list_requests > seen {
+                seen = sim.list_requests;
                 sim.scheduler.update_vms(listed.clone(), sim.now, sim.now);
                 sim.scheduler.pause_vm_list(vm_list_pause_ms(listed.len(), link), sim.now);
             }
@@ -261,7 +261,8 @@
         while sim.place(key) == place {
             sim.advance(20);
         }
-        let progress = sim.book.get(id).and_then(|job| job.progress.clone()).expect("on the log");
+        let progress =
+            sim.job_table.get(id).and_then(|job| job.progress.clone()).expect("on the log");
         let told = progress.restarts[0].losses;
         assert_eq!((told.total, told.at_start), (losses, 0));
     }
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -90,7 +90,7 @@
 
 /// Workers lost under a task, as the log shows them.
 fn logged_losses(sim: &SchedulerSim, key: TaskKey) -> LossCount {
-    let progress = sim.book.get(key.job).and_then(|job| job.progress.clone());
+    let progress = sim.job_table.get(key.job).and_then(|job| job.progress.clone());
     let setbacks = progress.map(|progress| progress.restarts.clone()).unwrap_or_default();
     let told = setbacks.iter().find(|told| (told.step, told.index) == (key.step, key.index));
     told.map(|told| told.losses).unwrap_or_default()
@@ -373,7 +373,7 @@
     let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
     for _ in 0..100 {
         sim.advance(500);
-        for (step, workers) in std::mem::take(&mut sim.permits_asked) {
+        for (step, workers) in std::mem::take(&mut sim.permits_requested) {
             let allowed = workers.iter().take(2).map(|id| (id.clone(), "permit".into())).collect();
             let grant = PermitGrant { allowed, valid_ms: 1_000 };
             sim.scheduler.update_permits(step, Some(grant), sim.now);
--- a/tests/scheduler_model.rs
+++ b/tests/scheduler_model.rs
@@ -254,7 +254,8 @@
 
     fn collect_logged_done(&mut self) {
         for id in self.jobs.keys() {
-            let Some(progress) = self.sim.book.get(*id).and_then(|job| job.progress.clone()) else {
+            let Some(progress) = self.sim.job_table.get(*id).and_then(|job| job.progress.clone())
+            else {
                 continue;
             };
             for logged in progress.tasks.iter().filter(|logged| logged.is_done) {
@@ -283,7 +284,7 @@
             }
         }
         let open: Vec<_> = self.jobs.iter().filter(|(id, _)| !self.finished.contains(id)).collect();
-        let logged: Vec<_> = open.iter().map(|(id, _)| self.sim.book.get(**id)).collect();
+        let logged: Vec<_> = open.iter().map(|(id, _)| self.sim.job_table.get(**id)).collect();
         panic!("these jobs never end: {open:#?} {logged:#?}");
     }
 
--- a/tests/scheduler_steps.rs
+++ b/tests/scheduler_steps.rs
@@ -116,7 +116,7 @@
     let schedule = JobSchedule { occurrences: 100_000, first_ms, interval_ms: 1 };
     let id = sim.submit(1, JobSpec { schedule: Some(schedule), ..job(vec![step(50)]) });
     sim.advance(1_000);
-    let logged = sim.book.get(id).expect("it is stored");
+    let logged = sim.job_table.get(id).expect("it is stored");
     let mut run = JobRun::restore(id, logged, sim.now).expect("it has a submission");
     run.begin_due(WALL_OFFSET_MS + sim.now + 50_000);
     let begun: usize = run.occurrences.values().map(|run| run.steps[0].tasks.len()).sum();
@@ -144,7 +144,7 @@
     let id = sim.submit(1, job(vec![step(2)]));
     sim.advance(300);
     assert!(sim.started.is_empty());
-    let requested = sim.permits_asked.clone();
+    let requested = sim.permits_requested.clone();
     assert_eq!(requested.len(), 1, "one request for the whole step");
     assert_eq!(requested[0].1.len(), 2);
     let allowed = vec![(Arc::from("w2"), Arc::from("permit-2"))];
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -237,7 +237,7 @@
     events: BTreeMap<(u64, u64), ModelEvent>,
     next_event: u64,
     leaders: Vec<ModelLeader>,
-    book: JobTable,
+    job_table: JobTable,
     end: u64,
     /// Highest term that has written to the job log.
     epoch: u64,
@@ -277,7 +277,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             leaders: Vec::new(),
-            book: JobTable::default(),
+            job_table: JobTable::default(),
             end: 0,
             epoch: 0,
             claimed: 0,
@@ -513,7 +513,7 @@
         }
         leader.is_committing = false;
         for record in &batch.decoded {
-            self.book.fold(record, self.end);
+            self.job_table.fold(record, self.end);
             self.end += 1;
         }
         self.with(term, |scheduler, now| scheduler.committed(&batch, now));
@@ -690,7 +690,7 @@
             now: self.now,
             wall_ms: WALL_OFFSET_MS + self.now,
         };
-        let mut scheduler = Scheduler::open(start, &self.book);
+        let mut scheduler = Scheduler::open(start, &self.job_table);
         let listed = self.workers.iter().filter(|worker| worker.is_listed);
         let listed = listed.map(|worker| worker.entry.clone()).collect();
         scheduler.workers_listed(listed, self.now);
@@ -762,7 +762,7 @@
         let id = job_id(self.jobs);
         let record = JobRecord::Submitted(id, Arc::new(submission(job(vec![step]))));
         self.keys.extend((0..count).map(|index| task(id, 0, index)));
-        if self.book.fold(&record, self.end) {
+        if self.job_table.fold(&record, self.end) {
             for leader in self.leaders.iter_mut().filter(|leader| leader.reaches_log) {
                 leader.scheduler.apply_record(&record, self.now);
             }
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -17,7 +17,7 @@
     sim.end(task(id, 0, 0), ExitKind::Done);
     sim.advance(1_000);
     assert_eq!(sim.state(id), Some(JobState::Completed));
-    let logged = sim.book.get(id).expect("known");
+    let logged = sim.job_table.get(id).expect("known");
     let submission = logged.submission.clone().expect("submitted");
     let progress = logged.progress.clone().expect("it has progress");
     let newest =
@@ -79,7 +79,7 @@
     sim.append(&JobRecord::Cancelled(id));
     sim.advance(300);
     let has_no_spec = |sim: &SchedulerSim| {
-        let logged = sim.book.get(id).expect("known");
+        let logged = sim.job_table.get(id).expect("known");
         logged.submission.as_ref().expect("submitted").has_no_spec()
     };
     assert!(!has_no_spec(&sim));
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -26,7 +26,7 @@
     /// The scheduler.
     pub scheduler: Scheduler,
     /// What the log tells.
-    pub book: JobTable,
+    pub job_table: JobTable,
     /// End of the log.
     pub end: u64,
     /// Workers by id.
@@ -40,11 +40,11 @@
     /// Decisions that were logged.
     pub events: Vec<SchedulerEvent>,
     /// Times that the VM list was asked for.
-    pub lists_asked: usize,
+    pub list_requests: usize,
     /// Waves told to operators.
     pub wave_statuses: Vec<(u64, bool)>,
     /// Steps and workers for which permits were asked.
-    pub permits_asked: Vec<(StepKey, Vec<Arc<str>>)>,
+    pub permits_requested: Vec<(StepKey, Vec<Arc<str>>)>,
     /// Permits that starts carried.
     pub permits_used: Vec<Option<Arc<str>>>,
     /// Gauges that workers report.
@@ -112,25 +112,25 @@
 impl SchedulerSim {
     /// One whose workers tell when they were born.
     pub fn open_with_incarnations(config: SiteConfig, entries: Vec<WorkerEntry>) -> SchedulerSim {
-        let born =
+        let with_incarnation =
             |entry: WorkerEntry| WorkerEntry { id: incarnation_id(&entry.id, Some(0)), ..entry };
-        SchedulerSim::open(config, entries.into_iter().map(born).collect())
+        SchedulerSim::open(config, entries.into_iter().map(with_incarnation).collect())
     }
 
     /// A leader of term 1 with these workers, all under its token.
     pub fn open(config: SiteConfig, entries: Vec<WorkerEntry>) -> SchedulerSim {
         let mut sim = SchedulerSim {
             scheduler: leader(1, None, bounds(), config, &JobTable::default(), START_MS),
-            book: JobTable::default(),
+            job_table: JobTable::default(),
             end: 0,
             workers: BTreeMap::new(),
             started: Vec::new(),
             started_late: BTreeSet::new(),
             vm_commands: Vec::new(),
             events: Vec::new(),
-            lists_asked: 0,
+            list_requests: 0,
             wave_statuses: Vec::new(),
-            permits_asked: Vec::new(),
+            permits_requested: Vec::new(),
             permits_used: Vec::new(),
             gauges: BTreeMap::new(),
             leases: Vec::new(),
@@ -170,7 +170,7 @@
     pub fn take_over(&mut self, term: u64, config: SiteConfig) {
         self.watched.clear();
         let before = PreviousLeader { seen_ms: self.now, end: self.predecessor_end };
-        self.scheduler = leader(term, Some(before), self.bounds, config, &self.book, self.now);
+        self.scheduler = leader(term, Some(before), self.bounds, config, &self.job_table, self.now);
         self.list_workers();
         self.run_until_idle();
     }
@@ -217,7 +217,7 @@
 
     /// Puts a record on the log that some entry wrote.
     pub fn append(&mut self, record: &JobRecord) {
-        if self.book.fold(record, self.end) {
+        if self.job_table.fold(record, self.end) {
             self.scheduler.apply_record(record, self.now);
         }
         self.end += 1;
@@ -396,7 +396,7 @@
 
     /// State of a job as callers see it.
     pub fn state(&self, job: JobId) -> Option<JobState> {
-        self.book.get(job).and_then(|entry| entry.state())
+        self.job_table.get(job).and_then(|entry| entry.state())
     }
 
     /// Runs of a task that are alive on any worker.
@@ -438,7 +438,7 @@
         }
         let Some(batch) = self.scheduler.take_commit() else { return false };
         for record in &batch.decoded {
-            self.book.fold(record, self.end);
+            self.job_table.fold(record, self.end);
             self.end += 1;
         }
         self.scheduler.committed(&batch, self.now);
@@ -461,13 +461,13 @@
                 self.scheduler.vm_commanded(&command, self.vm_outcome, self.now);
             }
             SchedulerAction::RequestPermits(step, workers) => {
-                self.permits_asked.push((step, workers));
+                self.permits_requested.push((step, workers));
             }
             SchedulerAction::PublishWaveStatus(number, is_completed) => {
                 self.wave_statuses.push((number, is_completed));
             }
             SchedulerAction::ListVms => {
-                self.lists_asked += 1;
+                self.list_requests += 1;
                 return false;
             }
             SchedulerAction::Event(event) => {
@@ -620,7 +620,7 @@
     predecessor: Option<PreviousLeader>,
     bounds: SiteBounds,
     config: SiteConfig,
-    book: &JobTable,
+    job_table: &JobTable,
     now: u64,
 ) -> Scheduler {
     let start = SchedulerStart {
@@ -634,5 +634,5 @@
         now,
         wall_ms: WALL_OFFSET_MS + now,
     };
-    Scheduler::open(start, book)
+    Scheduler::open(start, job_table)
 }
--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -303,15 +303,15 @@
     sim.advance(140_000);
     sim.append(&submitted);
     sim.advance(15_000);
-    assert!(sim.book.get(job_id(2)).is_none());
+    assert!(sim.job_table.get(job_id(2)).is_none());
     assert_eq!(sim.state(job_id(1)), Some(JobState::Cancelled));
-    let kept = sim.book.get(job_id(1)).expect("kept").tombstones.clone();
+    let kept = sim.job_table.get(job_id(1)).expect("kept").tombstones.clone();
     assert_eq!(kept.into_keys().collect::<Vec<_>>(), [east]);
     sim.take_over(2, config());
     sim.advance(1_000);
     assert_eq!(sim.starts(task(job_id(1), 0, 0)), 0);
     sim.advance(160_000);
-    assert!(sim.book.get(job_id(1)).is_none());
+    assert!(sim.job_table.get(job_id(1)).is_none());
 }
 
 /// Guards against a caller whose cancellation is reported as done while the job, which belongs to
