--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -38,8 +38,8 @@
         });
         thread::sleep(TURN);
         thread::spawn(move || sender.send(committer.fold_own(&[], 1, 1)));
-        let told = is_whole.recv_timeout(TURN);
-        assert_ne!(told, Ok(true), "the scheduler has not been told of the cancellation");
+        let outcome = is_whole.recv_timeout(TURN);
+        assert_ne!(outcome, Ok(true), "the scheduler has not been told of the cancellation");
     });
 }
 
@@ -192,7 +192,7 @@
         (1, JobRecord::Progress(job_id(1), Arc::new(progress))),
     ];
     node.fold_read(records, 2);
-    lead_from_book(&node);
+    lead_from_job_table(&node);
     let (now, kept_ms) = (node.now(), bounds().status_ms + 31_000);
     let dropped_at = |now: u64| {
         node.with_scheduler(|scheduler| {
@@ -206,7 +206,7 @@
 }
 
 /// Makes an entry the leader of what its book has, long after it learned of that.
-fn lead_from_book(node: &JobNode) {
+fn lead_from_job_table(node: &JobNode) {
     let late = node.now() + bounds().status_ms;
     let start = SchedulerStart {
         term: 2,
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -182,15 +182,15 @@
     let pool = workers(6);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
-    let lasting = StepSpec { disruption_budget: 1, ..service_step(4) };
-    let id = sim.submit(1, job(vec![lasting]));
+    let service = StepSpec { disruption_budget: 1, ..service_step(4) };
+    let id = sim.submit(1, job(vec![service]));
     settle(&mut sim, id, 4);
     let due = hosts(&sim, &pool, id, 4);
     sim.scheduler.add_wave(wave(&due, 4), BTreeSet::new(), sim.now);
     for _ in 0..40 {
         sim.advance(20);
-        let away = (0..4).filter(|index| sim.alive(task(id, 0, *index)) == 0).count();
-        assert!(away <= 1, "{away} of 4 away");
+        let down = (0..4).filter(|index| sim.alive(task(id, 0, *index)) == 0).count();
+        assert!(down <= 1, "{down} of 4 away");
     }
     // The one that was moved is not at work yet, so no other was ended.
     let starts: usize = (0..4).map(|index| sim.starts(task(id, 0, index))).sum();
@@ -204,8 +204,8 @@
     let pool = workers(8);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
-    let lasting = StepSpec { disruption_budget: 2, ..service_step(4) };
-    let id = sim.submit(1, job(vec![lasting]));
+    let service = StepSpec { disruption_budget: 2, ..service_step(4) };
+    let id = sim.submit(1, job(vec![service]));
     settle(&mut sim, id, 4);
     let due = hosts(&sim, &pool, id, 4);
     for worker in sim.workers.values_mut() {
@@ -232,22 +232,22 @@
     settle(&mut sim, id, 1);
     let host = sim.place(task(id, 0, 0));
     let mut others = pool.iter().filter(|worker| worker.id != host);
-    let (other, lasting) = (others.next().expect("three"), others.next().expect("three"));
-    for (worker, label) in [(other, "other"), (lasting, "lasting")] {
+    let (other, staying) = (others.next().expect("three"), others.next().expect("three"));
+    for (worker, label) in [(other, "other"), (staying, "staying")] {
         let labels = vec![label.into(), "r0".into()];
         sim.scheduler.worker_seen(WorkerEntry { labels, ..worker.clone() }, sim.now);
     }
     let labelled = |label: &str, spec| StepSpec { required_label: Some(label.into()), ..spec };
-    let full = sim.submit(2, job(vec![labelled("lasting", fill)]));
+    let full = sim.submit(2, job(vec![labelled("staying", fill)]));
     settle(&mut sim, full, 8);
     let beside = StepSpec { per_worker_max: 0, ..service_step(2) };
     let second = sim.submit(3, job(vec![labelled("other", beside)]));
     settle(&mut sim, second, 2);
     let due: Vec<WorkerEntry> =
-        pool.iter().filter(|worker| worker.id != lasting.id).cloned().collect();
+        pool.iter().filter(|worker| worker.id != staying.id).cloned().collect();
     sim.scheduler.add_wave(wave(&due, 1), BTreeSet::new(), sim.now);
     sim.advance(600);
-    (sim.starts(task(id, 0, 0)), sim.place(task(id, 0, 0)), lasting.id.clone())
+    (sim.starts(task(id, 0, 0)), sim.place(task(id, 0, 0)), staying.id.clone())
 }
 
 /// A service task leaves a VM that is due while a burst fills the one that may stay. The free room is on
@@ -255,8 +255,8 @@
 /// Room is made for it where it can stay.
 #[test]
 fn services_are_moved_to_vms_that_are_not_due() {
-    let (starts, place, lasting) = moved_in_a_wave(step(8));
-    assert_eq!((starts, place), (2, lasting));
+    let (starts, place, staying) = moved_in_a_wave(step(8));
+    assert_eq!((starts, place), (2, staying));
 }
 
 /// The same, but the VM that may stay is full of another service, which gives no room: the task stays
@@ -264,9 +264,9 @@
 #[test]
 fn services_are_not_moved_from_one_due_vm_to_the_next() {
     let fill = StepSpec { per_worker_max: 0, ..service_step(8) };
-    let (starts, place, lasting) = moved_in_a_wave(fill);
+    let (starts, place, staying) = moved_in_a_wave(fill);
     assert_eq!(starts, 1);
-    assert_ne!(place, lasting);
+    assert_ne!(place, staying);
 }
 
 /// A wave is complete when every VM of it that still exists has begun its maintenance, and operators
@@ -327,12 +327,12 @@
 /// to empty a VM and hands over; until the stop is through, the worker still lists the task at work.
 /// The successor must not take that for a task that stays, and stop a second one.
 #[test]
-fn a_successor_counts_a_task_that_is_being_stopped_as_away() {
+fn a_successor_counts_a_task_that_is_being_stopped_as_down() {
     let pool = workers(6);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
-    let lasting = StepSpec { disruption_budget: 1, ..service_step(4) };
-    let id = sim.submit(1, job(vec![lasting]));
+    let service = StepSpec { disruption_budget: 1, ..service_step(4) };
+    let id = sim.submit(1, job(vec![service]));
     for worker in sim.workers.values_mut() {
         worker.stop_ms = 200;
     }
@@ -389,8 +389,8 @@
             sim.progress(task(spread, 0, index), 100, 0);
         }
         sim.advance(100);
-        let away = (0..4).filter(|index| sim.alive(task(spread, 0, *index)) == 0).count();
-        assert!(away <= 1, "{away} of 4 away");
+        let down = (0..4).filter(|index| sim.alive(task(spread, 0, *index)) == 0).count();
+        assert!(down <= 1, "{down} of 4 away");
     }
     assert!(places(&sim) <= 3, "{} VMs", places(&sim));
     assert!(assigned_to(&sim, STANDBY) >= 1);
--- a/tests/scheduler_lag.rs
+++ b/tests/scheduler_lag.rs
@@ -157,7 +157,7 @@
 /// A service may miss one of its tasks. One stands on a worker that doesn't answer: nobody knows whether it
 /// is at work. A VM with another one is wanted for maintenance; it is not stopped beside the first.
 #[test]
-fn a_task_on_a_silent_worker_counts_as_away() {
+fn a_task_on_a_silent_worker_counts_as_down() {
     let pool = workers(6);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     let listed = pool.iter().map(|worker| vm(worker, POOL)).collect();
@@ -263,8 +263,8 @@
         }
         let progress =
             sim.job_table.get(id).and_then(|job| job.progress.clone()).expect("on the log");
-        let told = progress.restarts[0].losses;
-        assert_eq!((told.total, told.at_start), (losses, 0));
+        let logged = progress.restarts[0].losses;
+        assert_eq!((logged.total, logged.at_start), (losses, 0));
     }
     assert_eq!(sim.state(id), Some(JobState::Running));
 }
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -303,7 +303,7 @@
                 return;
             }
             self.now = at_ms;
-            self.take(event);
+            self.handle(event);
         }
     }
 
@@ -340,27 +340,27 @@
 
     /// How long a call takes to its worker, and its answer back; nothing for one that is lost.
     fn draw_delays(&mut self) -> (Option<u64>, Option<u64>) {
-        let way = match self.random.random_range(0..20) {
+        let call_delay = match self.random.random_range(0..20) {
             0 => None,
             1..4 => Some(self.random.random_range(0..CALL_DELAY_MAX_MS)),
             4..10 => Some(self.random.random_range(0..800)),
             _ => Some(self.random.random_range(0..8)),
         };
-        let back = match self.random.random_range(0..12) {
+        let answer_delay = match self.random.random_range(0..12) {
             0 => None,
             1..4 => Some(self.random.random_range(0..900)),
             _ => Some(self.random.random_range(0..8)),
         };
-        (way, back)
+        (call_delay, answer_delay)
     }
 
-    fn take(&mut self, event: ModelEvent) {
+    fn handle(&mut self, event: ModelEvent) {
         match event {
             ModelEvent::Turn => self.turn(),
             ModelEvent::RandomEvent => self.random_event(),
             ModelEvent::Send(term, id, key, run) => self.send(term, &id, key, run),
-            ModelEvent::StartArrives(term, id, call, back) => {
-                self.start_arrives(term, id, &call, back);
+            ModelEvent::StartArrives(term, id, call, answer_delay) => {
+                self.start_arrives(term, id, &call, answer_delay);
             }
             ModelEvent::StartAnswered(term, id, key, run, outcome) => {
                 self.trace(format!("{term} hears of {key}/{run} on {id}: {outcome:?}"));
@@ -372,12 +372,12 @@
                 self.trace(format!("{term} hears that {key}/{run} was not sent"));
                 self.with(term, |scheduler, now| scheduler.start_not_sent(&key, run, now));
             }
-            ModelEvent::StopArrives(term, id, call, back) => {
+            ModelEvent::StopArrives(term, id, call, answer_delay) => {
                 let now = self.now;
                 let Some(worker) = self.worker(&id) else { return };
                 let outcome = worker.stop(&call, now);
                 self.trace(format!("stop of {}/{} at {id}: {outcome:?}", call.task, call.run));
-                if let Some(ms) = back {
+                if let Some(ms) = answer_delay {
                     self.schedule(ms, ModelEvent::StopAnswered(term, id, call, outcome));
                 }
             }
@@ -386,8 +386,8 @@
                     scheduler.handle_stop_outcome(&id, &call.task, call.run, &outcome, now);
                 });
             }
-            ModelEvent::RenewArrives(term, id, call, sent_ms, back) => {
-                self.renew_arrives(term, id, call, sent_ms, back);
+            ModelEvent::RenewArrives(term, id, call, sent_ms, answer_delay) => {
+                self.renew_arrives(term, id, call, sent_ms, answer_delay);
             }
             ModelEvent::RenewAnswered(term, id, call, sent_ms, outcome) => {
                 self.with(term, |scheduler, now| {
@@ -540,23 +540,31 @@
             true => START_TIMEOUTS_MS[1],
             false => START_TIMEOUTS_MS[self.random.random_range(0..START_TIMEOUTS_MS.len())],
         };
-        let (way, back) = match is_slow {
+        let (call_delay, answer_delay) = match is_slow {
             true => {
-                let (way, back) = (0..300, 300..850);
-                (Some(self.random.random_range(way)), Some(self.random.random_range(back)))
+                let (call_delay, answer_delay) = (0..300, 300..850);
+                (
+                    Some(self.random.random_range(call_delay)),
+                    Some(self.random.random_range(answer_delay)),
+                )
             }
             false => self.draw_delays(),
         };
-        let way = match !is_slow && self.chance(3) {
+        let call_delay = match !is_slow && self.chance(3) {
             true => Some(self.random.random_range(300..EXECUTOR_DELAY_MAX_MS)),
-            false => way,
+            false => call_delay,
         };
-        let way = way.filter(|_| self.reaches(term, id));
-        self.trace(format!("{term} sends {key}/{run} to {id}, on its way {way:?}, back {back:?}"));
-        let answered_ms = way.zip(back).map(|(way, back)| way + back).filter(|ms| *ms < timeout_ms);
-        if let Some(ms) = way {
-            let back = answered_ms.and(back);
-            self.schedule(ms, ModelEvent::StartArrives(term, id.clone(), call, back));
+        let call_delay = call_delay.filter(|_| self.reaches(term, id));
+        self.trace(format!(
+            "{term} sends {key}/{run} to {id}, on its way {call_delay:?}, back {answer_delay:?}"
+        ));
+        let answered_ms = call_delay
+            .zip(answer_delay)
+            .map(|(call_delay, answer_delay)| call_delay + answer_delay)
+            .filter(|ms| *ms < timeout_ms);
+        if let Some(ms) = call_delay {
+            let answer_delay = answered_ms.and(answer_delay);
+            self.schedule(ms, ModelEvent::StartArrives(term, id.clone(), call, answer_delay));
         }
         if answered_ms.is_none() {
             let unknown =
@@ -565,14 +573,20 @@
         }
     }
 
-    fn start_arrives(&mut self, term: u64, id: Arc<str>, call: &StartCall, back: Option<u64>) {
+    fn start_arrives(
+        &mut self,
+        term: u64,
+        id: Arc<str>,
+        call: &StartCall,
+        answer_delay: Option<u64>,
+    ) {
         let now = self.now;
         let (key, run) = (call.task, call.run);
         let outcome = self.worker(&id).map(|worker| worker.start(call, now));
         self.trace(format!("start of {key}/{run} at {id}: {outcome:?}"));
         // The life is over: the connection is closed.
         let outcome = outcome.unwrap_or(CommandOutcome::Unknown);
-        if let Some(ms) = back {
+        if let Some(ms) = answer_delay {
             self.schedule(ms, ModelEvent::StartAnswered(term, id, key, run, outcome));
         }
         self.starts += 1;
@@ -595,14 +609,19 @@
     }
 
     fn send_stop(&mut self, term: u64, id: &Arc<str>, call: RunCall) {
-        let (way, back) = self.draw_delays();
-        let way = way.filter(|_| self.reaches(term, id));
-        self.trace(format!("{term} stops {}/{} on {id}, on its way {way:?}", call.task, call.run));
-        let answered_ms = way.zip(back).map(|(way, back)| way + back);
+        let (call_delay, answer_delay) = self.draw_delays();
+        let call_delay = call_delay.filter(|_| self.reaches(term, id));
+        self.trace(format!(
+            "{term} stops {}/{} on {id}, on its way {call_delay:?}",
+            call.task, call.run
+        ));
+        let answered_ms = call_delay
+            .zip(answer_delay)
+            .map(|(call_delay, answer_delay)| call_delay + answer_delay);
         let answered_ms = answered_ms.filter(|ms| *ms < STOP_TIMEOUT_MS);
-        if let Some(ms) = way {
-            let back = answered_ms.and(back);
-            self.schedule(ms, ModelEvent::StopArrives(term, id.clone(), call, back));
+        if let Some(ms) = call_delay {
+            let answer_delay = answered_ms.and(answer_delay);
+            self.schedule(ms, ModelEvent::StopArrives(term, id.clone(), call, answer_delay));
         }
     }
 
@@ -614,11 +633,14 @@
                     leader.renewing.insert(id.clone());
                 }
                 let timeout_ms = u64::try_from(timeout.as_millis()).expect("a short time");
-                let (way, back) = self.draw_delays();
-                let way = way.filter(|_| self.reaches(term, &id));
-                let answered_ms = way.zip(back).map(|(way, back)| way + back);
-                if let Some(ms) = way {
-                    let arrives = ModelEvent::RenewArrives(term, id.clone(), call, self.now, back);
+                let (call_delay, answer_delay) = self.draw_delays();
+                let call_delay = call_delay.filter(|_| self.reaches(term, &id));
+                let answered_ms = call_delay
+                    .zip(answer_delay)
+                    .map(|(call_delay, answer_delay)| call_delay + answer_delay);
+                if let Some(ms) = call_delay {
+                    let arrives =
+                        ModelEvent::RenewArrives(term, id.clone(), call, self.now, answer_delay);
                     self.schedule(ms, arrives);
                 }
                 if answered_ms.is_none_or(|ms| ms >= timeout_ms) {
@@ -642,19 +664,22 @@
         id: Arc<str>,
         call: RenewCall,
         sent_ms: u64,
-        back: Option<u64>,
+        answer_delay: Option<u64>,
     ) {
         let now = self.now;
         let Some(worker) = self.worker(&id) else { return };
         let outcome = worker.renew(&call, now);
-        let Some(back) = back else { return };
-        let took_ms = now + back - sent_ms;
+        let Some(answer_delay) = answer_delay else { return };
+        let took_ms = now + answer_delay - sent_ms;
         if took_ms < 300 {
-            self.schedule(back, ModelEvent::RenewAnswered(term, id, call, sent_ms, outcome));
+            self.schedule(
+                answer_delay,
+                ModelEvent::RenewAnswered(term, id, call, sent_ms, outcome),
+            );
         } else if let CommandOutcome::Done(report) = outcome
             && took_ms < ANSWER_AGE_MAX_MS
         {
-            self.schedule(back, ModelEvent::AnsweredLate(term, id, call, sent_ms, report));
+            self.schedule(answer_delay, ModelEvent::AnsweredLate(term, id, call, sent_ms, report));
         }
     }
 
@@ -743,9 +768,9 @@
             }
             44..48 => self.lose_leader(),
             48..49 => self.restart_worker(position),
-            49..51 => self.list_or_unlist(position),
+            49..51 => self.toggle_entry(position),
             55..60 => self.list_vms(),
-            60..80 => self.end_some(position),
+            60..80 => self.end_random_run(position),
             _ => {}
         }
         let ms = self.random.random_range(20..250);
@@ -801,7 +826,7 @@
     }
 
     /// Entries of workers go and come back, also while the workers run on.
-    fn list_or_unlist(&mut self, position: usize) {
+    fn toggle_entry(&mut self, position: usize) {
         let worker = &mut self.workers[position];
         worker.is_listed ^= true;
         let (is_listed, entry) = (worker.is_listed, worker.entry.clone());
@@ -826,7 +851,7 @@
         }
     }
 
-    fn end_some(&mut self, position: usize) {
+    fn end_random_run(&mut self, position: usize) {
         let worker = &mut self.workers[position];
         let Some(key) = worker.running.keys().next().copied() else { return };
         let kind =
