--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -1,4 +1,4 @@
-//! Ways by which a start, or a job that was cancelled, could outlast what bounds it.
+//! Orders of events in which a start or a cancelled job could outlast its time bound.
 
 mod support;
 
@@ -19,11 +19,12 @@
     worker,
 };
 
-/// Time for which a thread is given the chance to go on.
+/// Time given to a thread to proceed.
 const TURN: Duration = Duration::from_millis(300);
 
-/// Guards against a view of the jobs that counts as new before the leader was told of what it rests on: a reader has
-/// moved the book's end over a cancellation, and waits for the scheduler, when an append of the leader's is folded.
+/// Guards against a view of the jobs that counts as fresh before the scheduler has applied its
+/// records: a reader has moved the job table's end past a cancellation and waits for the scheduler,
+/// while an append of the leader is folded.
 #[test]
 fn the_job_view_is_not_fresh_before_the_scheduler_has_applied_it() {
     let node = idle_node();
@@ -39,12 +40,12 @@
         thread::sleep(TURN);
         thread::spawn(move || sender.send(committer.fold_own(&[], 1, 1)));
         let outcome = is_whole.recv_timeout(TURN);
-        assert_ne!(outcome, Ok(true), "the scheduler has not been told of the cancellation");
+        assert_ne!(outcome, Ok(true), "the scheduler has not applied the cancellation");
     });
 }
 
-/// Guards against a start that was sent to one life of a worker, and that the next one, whose clock begins anew, takes
-/// long after its job's cancellation was acknowledged.
+/// Guards against a start that was sent to one incarnation of a worker and is accepted by the next
+/// one, whose clock starts anew, long after the cancellation of its job was acknowledged.
 #[test]
 fn a_delayed_start_is_refused_by_the_next_incarnation_of_its_worker() {
     let mut sim = SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")]);
@@ -52,7 +53,7 @@
     sim.workers.get_mut("w1@0").expect("known").is_late = true;
     let id = sim.submit(1, job(vec![step(1)]));
     let next = sim.restart_worker("w1@0");
-    // Its leader is cut off from it, and reads of the cancellation.
+    // The leader is partitioned from it, and reads the cancellation.
     sim.are_renewals_muted = true;
     sim.workers.get_mut(&next).expect("known").started_ms = sim.now;
     sim.append(&JobRecord::Cancelled(id));
@@ -61,8 +62,8 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 0);
 }
 
-/// Guards against a start that may begin late on a worker whose clock stood still for a while: what it tells since is
-/// taken for answers that were on their way for long.
+/// Guards against a start that may begin late on a worker whose clock stood still for a while,
+/// because its clock readings since then are treated as answers that were long on their way.
 #[test]
 fn a_clock_reading_after_a_standstill_is_accepted() {
     let mut stood = WorkerState::new(worker("w0", "r0"), 0, 0);
@@ -76,7 +77,8 @@
     assert!(until <= 50_100 + deadline_ms - 110_000, "{until}");
 }
 
-/// Guards against leases that are taken for over too soon on such a worker: its clock comes to their end later.
+/// Guards against leases that are declared over too soon on such a worker: its clock reaches their
+/// end later.
 #[test]
 fn leases_last_longer_on_a_worker_whose_clock_stood_still() {
     let mut stood = WorkerState::new(worker("w0", "r0"), 0, 0);
@@ -87,8 +89,8 @@
     assert!(stood.lease_bound_ms() >= 103_000 + left_ms, "{}", stood.lease_bound_ms());
 }
 
-/// Guards against a lease that is longer than any that a successor waits for, as its worker was idle and its clock is slow:
-/// one that arrives late counts from then.
+/// Guards against a lease longer than the longest that a successor waits for: the worker was idle
+/// and its clock is slow, and a worker counts a lease that arrives late from its arrival.
 #[test]
 fn a_lease_after_an_idle_time_keeps_to_the_maximum() {
     let mut idle = WorkerState::new(worker("w0", "r0"), 0, 0);
@@ -98,7 +100,8 @@
     assert!(until <= shown_ms + bounds().lease_max_ms, "{} ms", until - shown_ms);
 }
 
-/// Guards against an answer that was on its way for long and is taken for one of a clock that stood still.
+/// Guards against an answer that was long on its way and is treated as a sign that the clock stood
+/// still.
 #[test]
 fn a_late_answer_does_not_set_a_clock_back() {
     let mut late = WorkerState::new(worker("w0", "r0"), 0, 0);
@@ -108,8 +111,8 @@
     assert_eq!(late.lease_until(1_000, 104_000), Some(55_000));
 }
 
-/// Guards against a cancelled job that runs when its submission is repeated: its leader's wall clock is ahead of that of
-/// the leader before, and the job is dropped from the log at once.
+/// Guards against a cancelled job that runs when its submission is repeated: the wall clock of a
+/// new leader is ahead of its predecessor's, and the job would be dropped from the log at once.
 #[test]
 fn a_leader_whose_wall_clock_is_ahead_keeps_a_cancelled_job() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -142,7 +145,7 @@
     assert_eq!(successor.stats().jobs, 0, "it runs");
 }
 
-/// Records by which jobs and cancellations are dropped from the log.
+/// Commits all changes, and counts the records that drop jobs and tombstones from the log.
 fn drops(scheduler: &mut Scheduler, now: u64) -> usize {
     let mut dropped = 0;
     while let Some(batch) = scheduler.take_commit() {
@@ -155,8 +158,8 @@
     dropped
 }
 
-/// Guards against the same where the clock of the leader itself is set forward, for jobs and for cancellations of jobs
-/// that nobody knows.
+/// Guards against the same if the clock of the leader itself is set forward, for jobs and for
+/// cancellations of unknown jobs.
 #[test]
 fn a_wall_clock_that_is_set_forward_drops_nothing() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -171,8 +174,8 @@
     assert_eq!(drops(&mut sim.scheduler, now + kept_ms), 2, "both are old by now");
 }
 
-/// Guards against jobs that are kept for good as each new leader counts from its beginning: it counts from when its
-/// process learned of the end.
+/// Guards against jobs that are kept forever because each new leader counts from its own start: it
+/// must count from when its process learned that the job was over.
 #[test]
 fn a_successor_drops_jobs_that_it_has_long_known_to_be_over() {
     let node = idle_node();
@@ -205,7 +208,7 @@
     assert_eq!(dropped_at(now + kept_ms), Some(1));
 }
 
-/// Makes an entry the leader of what its book has, long after it learned of that.
+/// Makes an entry the leader with the state of its job table, long after it learned that state.
 fn lead_from_job_table(node: &JobNode) {
     let late = node.now() + bounds().status_ms;
     let start = SchedulerStart {
@@ -223,8 +226,8 @@
     node.set_scheduler(Some(scheduler));
 }
 
-/// Guards against a cancellation that is acknowledged and on no log: an earlier one of the same id is being dropped, and
-/// the drop is appended behind it.
+/// Guards against a cancellation that is acknowledged but missing from the log: an earlier one of
+/// the same id is being dropped, and the drop is appended after the new one.
 #[test]
 fn a_cancellation_is_not_dropped_with_an_earlier_one() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -248,8 +251,8 @@
     assert!(job_table.get(id).is_some_and(|job| job.is_cancelled));
 }
 
-/// Guards against work that lapses as its lease was that of its start: all that its worker has is to be stopped and was
-/// not renewed for a while.
+/// Guards against work that lapses because its only lease is that of its start: all other runs of
+/// the worker are being stopped, so its leases were not renewed for a while.
 #[test]
 fn a_worker_with_only_stopping_runs_gets_a_lease_before_its_next_start() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
--- a/tests/scheduler_commit.rs
+++ b/tests/scheduler_commit.rs
@@ -1,4 +1,5 @@
-//! What goes to the log, in which order, and what waits for it.
+//! Contents and order of commits to the log, and the starts and acknowledgements that wait for
+//! them.
 
 mod support;
 
@@ -9,8 +10,8 @@
 use ibisweir::scheduler::SchedulerEvent;
 use support::sim::{SchedulerSim, config, job, job_id, step, submission, task, worker};
 
-/// The log is slow: each append takes a third of a second, one after the other. A caller's job is
-/// accepted and placed with one append, not with one of its entry and one of the leader.
+/// On a slow log each append takes a third of a second, one after the other. A caller's job must be
+/// accepted and placed with one append, rather than one of its entry and one of the leader.
 #[test]
 fn a_relayed_job_is_stored_and_placed_by_one_append() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -25,8 +26,8 @@
     assert!(sim.scheduler.take_commit().is_none());
 }
 
-/// The log is away. A job that was placed must not start: a successor would not know of the run, and
-/// start the task a second time. It starts as soon as the log has the placement.
+/// The log is unavailable. A placed job must not start: a successor would not know of the run and
+/// would start the task a second time. It starts as soon as the log has the placement.
 #[test]
 fn no_run_starts_before_its_placement_is_on_the_log() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -39,14 +40,14 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
-/// The log is away when a task is done. The end is not acknowledged to the worker, which goes on
-/// listing it, and callers are not told that the job is completed: both would be lost with the
-/// leader, and the task would run again.
+/// The log is unavailable when a task ends. Until it is back, the exit must not be acknowledged to
+/// the worker, and callers must not see the job as completed: both would be lost with the leader,
+/// and the task would run again.
 #[test]
 fn an_exit_is_acknowledged_only_once_the_log_has_it() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     let id = sim.submit(1, job(vec![step(1)]));
-    // Another job keeps the worker's leases in use, so that it is renewed all the while.
+    // Another job keeps the worker's leases in use, so that they are renewed throughout.
     sim.submit(2, job(vec![step(1)]));
     sim.is_log_up = false;
     sim.end(task(id, 0, 0), ExitKind::Done);
@@ -59,8 +60,8 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// The leader dies after a task is done and before the log has it. The successor finds the end on
-/// the worker's list: the task does not run again.
+/// The leader dies after a task has ended and before the log has the exit. The successor finds the
+/// exit on the worker's list, and the task must not run again.
 #[test]
 fn a_successor_processes_an_exit_that_is_not_on_the_log() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -74,8 +75,8 @@
     assert_eq!(sim.state(id), Some(JobState::Completed));
 }
 
-/// The leader dies after the log has a placement and before the start was sent. The worker answers
-/// the successor and has no such run: the task starts at once.
+/// The leader dies after the log has a placement and before the start is sent. The worker answers
+/// the successor and has no such run: the task must start at once.
 #[test]
 fn a_successor_starts_placed_tasks_that_were_never_started() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -89,9 +90,9 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 1);
 }
 
-/// The leader dies, and the worker that ran a task does not answer its successor. It may run on
-/// behind a cut: the task is started elsewhere only when every lease that the old leader can have
-/// given has run out.
+/// The leader dies, and the worker that runs a task does not answer the successor. It may still run
+/// behind a network partition: the task may start elsewhere only when every lease that the old
+/// leader can have granted has expired.
 #[test]
 fn a_successor_waits_out_the_leases_of_an_unreachable_worker() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
@@ -106,8 +107,8 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
-/// The same worker, but the VM list shows that its VM runs another life by now: nothing of the old
-/// one is alive, and the task starts elsewhere at once.
+/// The same, but the VM list shows another incarnation on the worker's VM. Nothing of the old
+/// incarnation is alive, and the task must start elsewhere at once.
 #[test]
 fn runs_are_lost_at_once_if_their_vm_has_another_incarnation() {
     let pool = vec![worker("w1", "r1"), worker("w2", "r2")];
@@ -122,7 +123,7 @@
         .map(|entry| support::sim::vm(entry, support::sim::POOL))
         .map(|mut vm| {
             if vm.worker == first {
-                vm.worker = "another-life".into();
+                vm.worker = "another-incarnation".into();
             }
             vm
         })
@@ -132,8 +133,8 @@
     assert_eq!(sim.starts(task(id, 0, 0)), 2);
 }
 
-/// The leader loses the log but not its workers. Its successor takes their runs for over a while
-/// after the old leader was last confirmed, so the old one must stop prolonging leases in time.
+/// The leader loses the log but not its workers. Its successor declares their runs over some time
+/// after the old leader's last confirmation, so the old leader must stop extending leases in time.
 #[test]
 fn leases_are_not_extended_while_the_leadership_is_unconfirmed() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -147,9 +148,10 @@
     assert_eq!(sim.leases.len(), last);
 }
 
-/// A caller cancels, and the leader dies before the log has what it made of it. The successor knows
-/// the cancellation but not its time. It must keep the job for the promised time: dropped at once, the
-/// job would be unknown to its caller, and a repeat of its submission would run it again.
+/// A caller cancels a job, and the leader dies before the resulting progress is on the log. The
+/// successor knows the cancellation but not its time. It must keep the job for the promised time:
+/// if it dropped the job at once, the job would be unknown to its caller, and a repeated submission
+/// would run it again.
 #[test]
 fn a_job_cancelled_around_a_takeover_is_kept() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -162,9 +164,9 @@
     assert_eq!(sim.state(id), Some(JobState::Cancelled));
 }
 
-/// Many large jobs come at once. One append of them all would be over the log's limit, refused again
-/// and again, and nothing would be committed any more. They go out in parts, and no task starts
-/// before its own job is on the log.
+/// Many large jobs arrive at once. A single append of them all would exceed the log's limit and be
+/// refused again and again, and nothing would be committed any more. They must be appended in
+/// parts, and no task may start before its own job is on the log.
 #[test]
 fn many_large_submissions_are_appended_in_parts() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -197,7 +199,8 @@
     assert_eq!(submitted.len(), 360);
 }
 
-/// Guards against a cancelled job that runs, as its cancellation reached the leader before the job itself.
+/// Guards against a cancelled job that runs because the leader read its cancellation before the job
+/// itself.
 #[test]
 fn a_cancellation_read_before_its_job_takes_effect() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -209,7 +212,7 @@
     assert_eq!((sim.starts(task(id, 0, 0)), sim.state(id)), (0, Some(JobState::Cancelled)));
 }
 
-/// Guards against the same where the leader changes between the two.
+/// Guards against the same if the leader changes between the two.
 #[test]
 fn a_cancellation_read_before_its_job_takes_effect_under_the_next_leader() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -221,12 +224,13 @@
     assert_eq!((sim.starts(task(id, 0, 0)), sim.state(id)), (0, Some(JobState::Cancelled)));
 }
 
-/// Room of a commit that takes some 20 records.
+/// Size of a commit that holds some 20 records, in bytes.
 const SMALL_COMMIT_BYTES: usize = 1_024;
-/// Jobs of which most wait for room.
+/// Jobs, most of which wait for capacity.
 const CHANGED: u64 = 600;
 
-/// A full worker, with jobs that wait; the log is away. Answers with a task that runs.
+/// A full worker with waiting jobs, while the log is unavailable. Returns the simulation and a task
+/// that runs.
 fn full_pool() -> (SchedulerSim, ibisweir::jobs::model::TaskKey) {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
     for id in 0..CHANGED {
@@ -237,7 +241,7 @@
     (sim, running)
 }
 
-/// Cancels jobs that wait.
+/// Cancels waiting jobs.
 fn cancel_waiting(sim: &mut SchedulerSim, ids: std::ops::Range<u64>) {
     for id in ids {
         assert_eq!(sim.starts(task(job_id(id), 0, 0)), 0, "it runs");
@@ -246,7 +250,7 @@
     sim.run_until_idle();
 }
 
-/// Guards against a task that waits to start behind all other changes on a narrow link.
+/// Guards against a start that waits behind all other changes on a narrow link.
 #[test]
 fn a_start_is_committed_before_other_changes() {
     let (mut sim, running) = full_pool();
@@ -260,11 +264,12 @@
     });
     assert!(started.is_some(), "nothing was placed");
     let batch = sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES).expect("an append");
-    assert!(batch.records.len() < 100, "all fits");
+    assert!(batch.records.len() < 100, "everything fits into one commit");
     assert_eq!(batch.decoded.first().and_then(JobRecord::job), started);
 }
 
-/// Guards against ends that workers list again and again, as other changes always wait for the log behind them.
+/// Guards against exits that workers list again and again because other changes always wait for the
+/// log before them.
 #[test]
 fn exits_are_acknowledged_while_other_changes_keep_coming() {
     let (mut sim, running) = full_pool();
@@ -272,7 +277,7 @@
     sim.end(running, ExitKind::Done);
     sim.advance(200);
     for first in (240..CHANGED).step_by(40) {
-        // More than the commits take, each time.
+        // Each time more than the commits hold.
         cancel_waiting(&mut sim, first..first + 40);
         for _ in 0..6 {
             let batch =
@@ -282,11 +287,11 @@
     }
     sim.advance(200);
     assert!(sim.scheduler.take_commit_within(SMALL_COMMIT_BYTES / 8).is_some(), "nothing was left");
-    assert!(sim.workers["w1"].exits.is_empty(), "no end was acknowledged");
+    assert!(sim.workers["w1"].exits.is_empty(), "no exit was acknowledged");
 }
 
-/// Guards against a batch of another entry that is told of before all of it is on the log, and against progress of a job
-/// that the log does not have.
+/// Guards against a relayed batch that is confirmed before all of it is on the log, and against
+/// progress of a job that the log does not have.
 #[test]
 fn a_relayed_batch_is_confirmed_with_its_last_part() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w1", "r1")]);
@@ -306,14 +311,15 @@
             }
         }
         let is_whole = stored.len() == usize::try_from(CHANGED).expect("few");
-        assert!(batch.relayed.is_empty() || is_whole, "told of too early");
+        assert!(batch.relayed.is_empty() || is_whole, "confirmed too early");
         sim.scheduler.committed(&batch, sim.now);
     }
-    assert!(commits > 3, "it fits");
+    assert!(commits > 3, "it fits into one commit");
     assert_eq!(stored.len(), usize::try_from(CHANGED).expect("few"));
 }
 
-/// Guards against ends that are never acknowledged while large submissions of other entries fill each append.
+/// Guards against exits that are never acknowledged while large submissions of other entries fill
+/// each append.
 #[test]
 fn exits_are_acknowledged_while_large_submissions_keep_coming() {
     let (mut sim, running) = full_pool();
@@ -328,5 +334,5 @@
         sim.scheduler.committed(&batch, sim.now);
     }
     sim.advance(200);
-    assert!(sim.workers["w1"].exits.is_empty(), "no end was acknowledged");
+    assert!(sim.workers["w1"].exits.is_empty(), "no exit was acknowledged");
 }
--- a/tests/scheduler_fleet.rs
+++ b/tests/scheduler_fleet.rs
@@ -1,4 +1,4 @@
-//! VMs follow the demand, and maintenance keeps to its bounds.
+//! Assignment of VMs by demand, and maintenance within its bounds.
 
 mod support;
 
@@ -22,7 +22,7 @@
     (0..count).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect()
 }
 
-/// The VMs of these workers, and as many more on standby.
+/// The VMs of these workers, and `standby` more in the standby pool.
 fn vms(workers: &[WorkerEntry], standby: usize) -> Vec<VmEntry> {
     let mut vms: Vec<VmEntry> = workers.iter().map(|worker| vm(worker, POOL)).collect();
     for n in 0..standby {
@@ -32,7 +32,7 @@
     vms
 }
 
-/// Workers on which the first `count` tasks of a job's first step stand.
+/// Workers that run the first `count` tasks of a job's first step.
 fn hosts(sim: &SchedulerSim, pool: &[WorkerEntry], id: JobId, count: u32) -> Vec<WorkerEntry> {
     (0..count)
         .map(|index| sim.place(task(id, 0, index)))
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// Lets the first `count` tasks of a job come to work and stay there for a while.
+/// Lets the first `count` tasks of a job get to work and stay there for a while.
 fn settle(sim: &mut SchedulerSim, id: JobId, count: u32) {
     for _ in 0..5 {
         for index in 0..count {
@@ -55,26 +55,27 @@
     sim.vm_commands.iter().filter(to).count()
 }
 
-/// A queue that was quiet begins to ask for several times what its pool holds. Callers' objectives
-/// leave little more time than a VM takes to come: VMs are called for by the rate at which work
-/// arrives, when only the first jobs stand in line.
+/// A quiet queue starts to ask for several times the capacity of its pool. Callers' objectives
+/// leave little more time than a VM takes to arrive, so VMs must be requested by the arrival rate
+/// of work, when only the first jobs are waiting.
 #[test]
 fn a_burst_requests_vms_by_its_arrival_rate() {
     let pool = workers(1);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 20), sim.now, sim.now);
-    // Each 50 ms a job of four core-seconds: eighty cores, ten VMs, once it is steady.
+    // Every 50 ms a job of four core-seconds: eighty cores, ten VMs, once the rate is steady.
     for id in 0..10 {
         sim.submit(id, job(vec![step(4)]));
         sim.advance(50);
     }
     let requested = assigned_to(&sim, POOL);
-    // The ten jobs that have come take forty cores, four VMs beside the one that is there.
-    assert!((5..=12).contains(&requested), "{requested} VMs called for after half a second");
+    // The ten jobs that have arrived take forty cores: four VMs beside the one that is there.
+    assert!((5..=12).contains(&requested), "{requested} VMs requested after half a second");
 }
 
-/// A queue that was quiet asks for eighty cores from one moment to the next. Each job that arrives until
-/// that shows waits for a VM's whole move: three quarters of it are seen within 0.3 s.
+/// A quiet queue asks for eighty cores from one moment to the next. Each job that arrives before
+/// the rate shows it waits for the whole move of a VM: three quarters of the load must be visible
+/// within 0.3 s.
 #[test]
 fn the_arrival_rate_shows_a_sudden_burst_within_tenths_of_a_second() {
     let mut rate = ArrivalRate::default();
@@ -83,7 +84,7 @@
     }
     let seen = rate.load(5_300).cpu;
     assert!(seen >= 48_000, "{seen} of 80000");
-    // It does not stay above what arrives.
+    // The rate does not stay above the arriving load.
     for n in 30..120 {
         rate.record_arrival(&job(vec![step(1)]), &RuntimeModel::default(), 5_000 + n * 100 / 8);
     }
@@ -91,8 +92,8 @@
     assert!((70_000..=92_000).contains(&steady), "{steady}");
 }
 
-/// The rate falls again within two windows after the last arrival: a burst that is over calls for
-/// nothing.
+/// The rate must fall within two windows after the last arrival, so that a burst that is over
+/// requests no VMs.
 #[test]
 fn the_arrival_rate_falls_soon_after_a_burst() {
     let mut rate = ArrivalRate::default();
@@ -104,8 +105,9 @@
     assert!(rate.load(3_500).cpu < steady / 10);
 }
 
-/// A queue's turn is over and its VMs idle; the next queue's turn may begin any moment. A VM on its
-/// way to the standby pool could not be called for, so they leave a part at a time.
+/// A queue's burst is over and its VMs are idle, but another queue's burst may begin at any moment.
+/// A VM on its way to the standby pool can't be assigned, so only a part of the VMs may leave at a
+/// time.
 #[test]
 fn only_some_of_the_idle_vms_leave_at_a_time() {
     let pool = workers(16);
@@ -113,11 +115,12 @@
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
     sim.advance(2_000);
     let leaving = assigned_to(&sim, STANDBY);
-    // One VM stays with the pool; of the other fifteen a half leaves, and no more until those are there.
+    // One VM stays with the pool. Half of the other fifteen leave, and no more until those have
+    // arrived.
     assert_eq!(leaving, 7, "of 16 idle VMs");
 }
 
-/// Two of the VMs that a wave may take down at once are down. A third may not go, however many are
+/// Two VMs of a wave are down, as many as it allows. A third one must not go down, however many are
 /// due.
 #[test]
 fn a_wave_keeps_to_its_limit_of_vms_at_a_time() {
@@ -130,9 +133,10 @@
     assert_eq!(sim.wave_statuses, vec![(1, false)]);
 }
 
-/// VMs that are off have no worker, before their maintenance and after it. The list shows the first two up again: the
-/// next two follow at once. Waited for as if a worker had to come, they hold the places of the whole wave until their
-/// commands are forgotten, and the last VMs, with what callers have running on them, are late.
+/// VMs that are off have no worker, neither before their maintenance nor after it. When the list
+/// shows the first two up again, the next two must follow at once. If the leader waited for a
+/// worker, they would occupy the slots of the wave until their commands are forgotten, and the last
+/// VMs, with callers' runs on them, would be late.
 #[test]
 fn vms_without_workers_free_their_slots_in_a_wave_once_they_are_back() {
     let pool = workers(1);
@@ -157,8 +161,8 @@
     assert_eq!(maintained(&sim).len(), 4);
 }
 
-/// One VM of a wave may be down at a time, and one is. Another has just been emptied of its services:
-/// it waits until the first is back.
+/// One VM of a wave may be down at a time, and one is. Another one has just been drained of its
+/// services: it must wait until the first is back.
 #[test]
 fn a_drained_vm_waits_for_a_slot_in_its_wave() {
     let pool = workers(4);
@@ -175,8 +179,8 @@
     assert_eq!(maintained(&sim).len(), 1);
 }
 
-/// A VM that is due runs tasks of a step that may miss one. They are moved one at a time, each only
-/// when the one before is at work again: callers see at most one away.
+/// The VMs that are due run tasks of a step of which one may be down. The tasks must be moved one
+/// at a time, each only when the previous one is at work again: callers see at most one down.
 #[test]
 fn services_are_moved_within_their_budget() {
     let pool = workers(6);
@@ -190,15 +194,15 @@
     for _ in 0..40 {
         sim.advance(20);
         let down = (0..4).filter(|index| sim.alive(task(id, 0, *index)) == 0).count();
-        assert!(down <= 1, "{down} of 4 away");
+        assert!(down <= 1, "{down} of 4 down");
     }
-    // The one that was moved is not at work yet, so no other was ended.
+    // The moved task is not at work yet, so no other was stopped.
     let starts: usize = (0..4).map(|index| sim.starts(task(id, 0, index))).sum();
     assert_eq!(starts, 5);
 }
 
-/// The tasks of a service, of which two may be away, stand on VMs that are all due. Moved one after the
-/// other, the wave would be late: two go at a time, and never a third.
+/// The tasks of a service of which two may be down run on VMs that are all due. The wave would be
+/// late if they were moved one after the other: two must move at a time, and never a third.
 #[test]
 fn as_many_vms_are_drained_at_a_time_as_budgets_allow() {
     let pool = workers(8);
@@ -221,9 +225,9 @@
     assert_eq!(leaving, 2);
 }
 
-/// Three VMs, two of them due: the service task of job 1 stands on one, that of another service on the
-/// second, and `lasting`, which may stay, is full of `fill`. Returns the task's starts and place 0.6 s
-/// after the wave began, and the VM that may stay.
+/// Three VMs, two of them due. The service task of job 1 runs on one of these, another service on
+/// the second, and `staying`, which is not due, is full of `fill`. Returns the task's starts and
+/// worker 0.6 s after the wave began, and the VM that is not due.
 fn moved_in_a_wave(fill: StepSpec) -> (usize, Arc<str>, Arc<str>) {
     let pool = workers(3);
     let mut sim = SchedulerSim::open(config(), pool.clone());
@@ -250,17 +254,17 @@
     (sim.starts(task(id, 0, 0)), sim.place(task(id, 0, 0)), staying.id.clone())
 }
 
-/// A service task leaves a VM that is due while a burst fills the one that may stay. The free room is on
-/// a VM that is due as well: there it would have to be moved once more, and callers would miss it twice.
-/// Room is made for it where it can stay.
+/// A service task must leave a VM that is due, while a burst fills the VM that is not. There is
+/// free capacity on another VM that is due: from there the task would have to move once more, and
+/// callers would miss it twice. Capacity must be freed on the VM where it can stay.
 #[test]
 fn services_are_moved_to_vms_that_are_not_due() {
     let (starts, place, staying) = moved_in_a_wave(step(8));
     assert_eq!((starts, place), (2, staying));
 }
 
-/// The same, but the VM that may stay is full of another service, which gives no room: the task stays
-/// where it is until there is some.
+/// The same, but the VM that is not due is full of another service, which can't be preempted: the
+/// task must stay until there is capacity.
 #[test]
 fn services_are_not_moved_from_one_due_vm_to_the_next() {
     let fill = StepSpec { per_worker_max: 0, ..service_step(8) };
@@ -269,8 +273,8 @@
     assert_ne!(place, staying);
 }
 
-/// A wave is complete when every VM of it that still exists has begun its maintenance, and operators
-/// are told so once.
+/// A wave is complete when each of its VMs that still exists has begun its maintenance. Operators
+/// must see that once.
 #[test]
 fn a_wave_is_published_as_complete_once_all_vms_have_begun() {
     let pool = workers(2);
@@ -282,7 +286,8 @@
     assert_eq!(sim.wave_statuses, vec![(1, false), (1, true)]);
 }
 
-/// A new leader takes over in the middle of a wave. What the log says to be done is not done again.
+/// A new leader takes over in the middle of a wave. It must not repeat the maintenance that the log
+/// records as done.
 #[test]
 fn a_successor_continues_a_wave_without_repeating_it() {
     let pool = workers(2);
@@ -303,8 +308,8 @@
     assert_eq!(sim.vm_commands.len(), 2);
 }
 
-/// A new leader finds a wave with nothing left to do. Operators have been told that it is complete, and
-/// are not told once more that it runs.
+/// A new leader finds a wave with nothing left to do. Operators have seen it complete, and must not
+/// see it running again.
 #[test]
 fn a_successor_does_not_publish_a_complete_wave_as_running() {
     let pool = workers(2);
@@ -323,9 +328,9 @@
     assert_eq!(sim.wave_statuses, vec![(1, true)]);
 }
 
-/// Callers of a service find two of its tasks away where one may be. Its leader stops the first task
-/// to empty a VM and hands over; until the stop is through, the worker still lists the task at work.
-/// The successor must not take that for a task that stays, and stop a second one.
+/// Guards against two tasks of a service being down where one may be. The leader stops the first
+/// task to drain a VM and hands over; until the stop is finished, the worker still lists the task
+/// at work. If the successor counted it as staying, it would stop a second one.
 #[test]
 fn a_successor_counts_a_task_that_is_being_stopped_as_down() {
     let pool = workers(6);
@@ -350,7 +355,7 @@
         waited += 20;
         assert!(waited < 4_000, "no task was stopped");
     }
-    // The successor would begin with another VM: the first one has more to end by now.
+    // The successor would begin with another VM, since the first one has more runs to end by now.
     let others: Vec<WorkerEntry> =
         due.iter().filter(|worker| sim.workers[&worker.id].ending.is_empty()).cloned().collect();
     sim.take_over(2, config());
@@ -364,14 +369,14 @@
     }
 }
 
-/// A burst is over, and the tasks of a service stand one each on four VMs where two would hold them.
-/// They are moved together, within their budget, and the VMs that become empty leave the pool.
+/// After a burst the tasks of a service run on four VMs, one each, where two would hold them. They
+/// must be moved together within their budget, and the VMs that become empty leave the pool.
 #[test]
 fn services_are_consolidated_after_a_burst() {
     let pool = workers(4);
     let mut sim = SchedulerSim::open(config(), pool.clone());
     sim.scheduler.update_vms(vms(&pool, 0), sim.now, sim.now);
-    // Each worker is full but for one place, so that the service's tasks must spread.
+    // Each worker is full except for one slot, so that the service's tasks must spread.
     let full = sim.submit(1, job(vec![StepSpec { per_worker_max: 7, ..step(28) }]));
     sim.advance(100);
     let spread = sim.submit(2, job(vec![StepSpec { per_worker_max: 2, ..service_step(4) }]));
@@ -390,14 +395,14 @@
         }
         sim.advance(100);
         let down = (0..4).filter(|index| sim.alive(task(spread, 0, *index)) == 0).count();
-        assert!(down <= 1, "{down} of 4 away");
+        assert!(down <= 1, "{down} of 4 down");
     }
     assert!(places(&sim) <= 3, "{} VMs", places(&sim));
     assert!(assigned_to(&sim, STANDBY) >= 1);
 }
 
-/// One queue expects work: its jobs' later steps have not begun, and its VMs idle. Another queue's
-/// callers wait for room now. The idle VMs go to those that wait.
+/// One queue expects work: its jobs' later steps have not begun, and its VMs idle. Callers of
+/// another queue wait for capacity now. The idle VMs must go to the waiting work.
 #[test]
 fn waiting_work_gets_vms_that_idle_for_expected_work() {
     let config = two_pools();
@@ -405,7 +410,7 @@
     pool[8].service = OTHER_POOL.into();
     let mut sim = SchedulerSim::open(config, pool.clone());
     let listed: Vec<VmEntry> = pool.iter().map(|worker| vm(worker, &worker.service)).collect();
-    // Its second step will want sixteen VMs, but the first runs on one.
+    // Its second step will need sixteen VMs, but the first runs on one.
     let later = StepSpec { after: vec![0], ..step(128) };
     sim.submit(1, job(vec![StepSpec { estimate_ms: 60_000, ..step(1) }, later]));
     sim.advance(3_000);
@@ -432,7 +437,7 @@
     config
 }
 
-/// A VM is only taken from a pool when nothing runs on it: a task at work on it ends by itself first.
+/// A VM may only be taken when nothing runs on it: a task at work on it must end by itself first.
 #[test]
 fn a_due_vm_is_not_maintained_while_a_task_runs_on_it() {
     let pool = workers(1);
@@ -465,9 +470,10 @@
     sim.vm_commands.iter().filter_map(vm).collect()
 }
 
-/// A leader was cut off with a command to a VM on its way, and another takes over. Where the VM service
-/// checks no tokens, it would carry out both in any order, and the VM would end where nobody has it: the
-/// successor's first command waits until nothing of the old leader's is under way.
+/// A leader is partitioned with a command to a VM on its way, and another takes over. A VM service
+/// that checks no fencing tokens could carry out both leaders' commands in any order, and the VM
+/// would end up where neither expects it. The successor's first command must wait until no command
+/// of the old leader is under way.
 #[test]
 fn a_successor_waits_out_unfenced_vm_commands_of_its_predecessor() {
     let is_held = |are_vms_fenced, end| {
@@ -487,11 +493,11 @@
     };
     assert!(is_held(false, PredecessorEnd::Unknown));
     assert!(!is_held(true, PredecessorEnd::Unknown), "the service refuses the old token");
-    assert!(!is_held(false, PredecessorEnd::Resigned), "it had none under way");
+    assert!(!is_held(false, PredecessorEnd::Resigned), "it had none in flight");
 }
 
-/// A leader that has not been confirmed for a while may have a successor soon: it commands no VM any
-/// more, long before its leases end.
+/// A leader that has not been confirmed for a while may soon have a successor: it must stop
+/// commanding VMs, long before its leases end.
 #[test]
 fn vms_are_commanded_only_while_the_leadership_is_confirmed() {
     let pool = workers(1);
--- a/tests/scheduler_lag.rs
+++ b/tests/scheduler_lag.rs
@@ -1,4 +1,4 @@
-//! A leader whose own link or processor is too slow for its work: late, and not wrong.
+//! A leader whose own link or processor is too slow for its work must be late, but not wrong.
 
 mod support;
 
@@ -12,14 +12,14 @@
 use ibisweir::scheduler::renewals::RenewPlan;
 use support::sim::{POOL, SchedulerSim, bounds, config, job, service_step, step, task, vm, worker};
 
-/// Longer than every lease that a worker can have.
+/// Longer than every lease that a worker can have, in milliseconds.
 const LEASES_MS: u64 = 6_400;
 
 fn workers(count: usize) -> Vec<WorkerEntry> {
     (0..count).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 4))).collect()
 }
 
-/// An answer of a worker that was given up long ago arrives.
+/// Delivers an answer of a worker long after its timeout.
 fn answer_late(sim: &mut SchedulerSim, id: &str) {
     let call = RenewCall {
         fence: 1_024,
@@ -37,10 +37,11 @@
     sim.workers.get_mut(id).expect("known").is_silent = true;
 }
 
-/// The leader's link is choked: its renewals get no answer in time, and their answers arrive seconds later.
-/// The leases of a worker run out in its books, while the task on it has been done and the answer that lists
-/// the end is on its way. Callers' tasks must not run a second time: the leader sees by other workers' late
-/// answers that it is behind itself, and starts nothing again until it has read on.
+/// The leader's link is saturated: renewals are not answered in time, and the answers arrive
+/// seconds later. A worker's leases expire by the leader's reckoning, while its task has ended and
+/// the answer that lists the exit is on its way. The task must not run a second time: other
+/// workers' late answers show the leader that it lags, and it restarts no task until it has caught
+/// up.
 #[test]
 fn a_lagging_leader_declares_no_run_over() {
     let mut sim = SchedulerSim::open(config(), workers(5));
@@ -62,11 +63,12 @@
         }
         sim.advance(200);
     }
-    assert_eq!(sim.starts(first), 1, "its end is on its way");
+    assert_eq!(sim.starts(first), 1, "its exit is on its way");
     answer_late(&mut sim, &place);
     sim.advance(100);
     assert_eq!(sim.starts(first), 1);
-    // Nothing is late any more: what is silent now is silent itself, and its leases are over.
+    // No answer is late any more: a worker that is silent now is silent itself, and its leases are
+    // over.
     sim.workers.values_mut().for_each(|worker| worker.is_silent = false);
     sim.advance(4_000);
     for index in 1..4 {
@@ -77,8 +79,8 @@
     assert_eq!(sim.starts(first), 1);
 }
 
-/// An answer arrives three seconds late and shows the worker's clock as it was then. Leases reckoned from it would
-/// end three seconds early, and all that runs there with them.
+/// An answer arrives three seconds late and shows the worker's clock as it was then. Leases
+/// computed from it would end three seconds early, and the worker's runs with them.
 #[test]
 fn a_late_answer_shortens_no_lease() {
     let mut sim = SchedulerSim::open(config(), workers(1));
@@ -93,8 +95,8 @@
     assert!(first >= before, "{first} after {before}");
 }
 
-/// Two workers of many answer late since they are slow themselves. A third one that is silent is not
-/// excused by them: its tasks start elsewhere once its leases are over.
+/// Two workers of many answer late because they are slow themselves. A third, silent worker must
+/// not be excused by that: its tasks start elsewhere once its leases are over.
 #[test]
 fn a_few_slow_workers_do_not_delay_the_expiry_of_a_silent_one() {
     let mut sim = SchedulerSim::open(config(), workers(6));
@@ -114,8 +116,8 @@
     assert_eq!(sim.starts(first), 2);
 }
 
-/// Starts wait in line before a choked link. Of a burst of a hundred only those are decided that go out
-/// soon: the others keep no room, and the most urgent can still go before them.
+/// Starts queue for a saturated link. Of a burst of a hundred only those that can be sent soon may
+/// be placed: the others must not occupy capacity, so that the most urgent can still precede them.
 #[test]
 fn no_more_tasks_are_placed_than_can_be_sent_soon() {
     let mut sim = SchedulerSim::open(config(), workers(20));
@@ -131,8 +133,8 @@
     assert_eq!(sim.scheduler.stats().runs, 100);
 }
 
-/// While answers wait in a line, a renewal waits longer at its worker, so that renewals without news leave
-/// the link to starts; and it is waited for longer than the line is.
+/// While answers queue, renewals must wait longer at the worker, so that renewals without news
+/// leave the link to starts, and their timeout must exceed the queueing time.
 #[test]
 fn renewals_are_fewer_with_longer_timeouts_on_a_saturated_link() {
     let mut sim = SchedulerSim::open(config(), workers(1));
@@ -154,8 +156,9 @@
     assert!((longest + longest_timeout) * 3 / 2 < lease, "{longest:?} {longest_timeout:?}");
 }
 
-/// A service may miss one of its tasks. One stands on a worker that doesn't answer: nobody knows whether it
-/// is at work. A VM with another one is wanted for maintenance; it is not stopped beside the first.
+/// One task of a service may be down. One runs on a worker that does not answer, so it is not known
+/// to be at work. A VM with another one is due for maintenance: that task must not be stopped while
+/// the first may be down.
 #[test]
 fn a_task_on_a_silent_worker_counts_as_down() {
     let pool = workers(6);
@@ -179,12 +182,12 @@
     };
     sim.scheduler.add_wave(wave, BTreeSet::new(), sim.now);
     sim.advance(2_000);
-    assert_eq!(sim.starts(task(id, 0, 1)), 1, "it was stopped beside one that is away");
+    assert_eq!(sim.starts(task(id, 0, 1)), 1, "it was stopped while another may be down");
 }
 
-/// The VM list is long for a narrow link. Asked for as often as on a wide one, it would leave little room for
-/// starts: after each it rests so long that lists take an eighth of the link, and is asked for again before it is
-/// too old to act on.
+/// The VM list is long for a narrow link. Requested as often as on a wide one, it would leave
+/// little of the link to starts. The pause after each list must be so long that lists take an
+/// eighth of the link, but the next one must be requested before the list is too old to act on.
 #[test]
 fn the_vm_list_is_requested_less_often_on_a_narrow_link() {
     let requested_in_3_s = |link| {
@@ -212,7 +215,8 @@
     assert!((3..=5).contains(&narrow), "{narrow}");
 }
 
-/// Guards against a leader that plans nothing for part of the time as its list gets too old while it rests.
+/// Guards against a leader that plans nothing for part of the time because its list becomes too old
+/// during the pause between lists.
 #[test]
 fn a_vm_list_stays_valid_during_the_pause_between_lists() {
     for (vms, link) in [(130, 2), (10_000, 1), (1_000_000, 1_000)] {
@@ -222,7 +226,7 @@
         let listed: Vec<_> = pool.iter().map(|worker| vm(worker, POOL)).collect();
         sim.scheduler.update_vms(listed.clone(), sim.now, sim.now);
         sim.scheduler.pause_vm_list(rest_ms, sim.now);
-        // Its answer may take two seconds.
+        // The answer to the next request may take two seconds.
         sim.advance(rest_ms + 2_000);
         let due = listed.iter().map(|vm| vm.vm.clone()).collect();
         let wave = MaintenanceWave { number: 1, vms: due, within_ms: 60_000, parallel_max: 0 };
@@ -233,7 +237,7 @@
     }
 }
 
-/// Guards against lists that take more of the leader's time the more VMs there are.
+/// Guards against lists that take more of the leader's bandwidth the more VMs there are.
 #[test]
 fn the_bandwidth_of_vm_lists_does_not_grow_with_the_vms() {
     let bytes_per_s = |vms: usize| vms as u64 * 185 * 1_000 / vm_list_pause_ms(vms, 1_000);
@@ -242,9 +246,9 @@
     }
 }
 
-/// A leader that is behind learns of lost workers before the answers that would show for how long their tasks had
-/// been at work. Taken for starts that crashed them, three such losses would give up a caller's job that has
-/// nothing to do with it: they count, and only towards the bound that holds for every reason.
+/// A lagging leader learns of lost workers before the answers that would show how long their tasks
+/// had been at work. If it attributed the losses to starts, three of them would give up a job that
+/// has nothing to do with them. They must count only towards the limit on losses of any cause.
 #[test]
 fn a_lagging_leader_attributes_no_loss_to_a_start() {
     let mut sim = SchedulerSim::open(config(), workers(5));
@@ -269,7 +273,8 @@
     assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
-/// Guards against starts of a job that another entry has cancelled seconds ago, while reads of the log are late.
+/// Guards against starts of a job that another entry cancelled seconds ago, while reads of the log
+/// are late.
 #[test]
 fn a_leader_with_a_stale_view_of_the_jobs_starts_nothing() {
     let mut sim = SchedulerSim::open(config(), workers(4));
@@ -284,10 +289,11 @@
     assert_eq!([first, second, third].map(|id| starts(&sim, id)), [1, 1, 0]);
     sim.is_reading_jobs = true;
     sim.advance(100);
-    assert_eq!(starts(&sim, third), 1, "it starts as soon as the log was read");
+    assert_eq!(starts(&sim, third), 1, "it starts once the log has been read");
 }
 
-/// Guards against a start that is sent late, after the cancellation of its job could have been read.
+/// Guards against a start that is sent late, when the cancellation of its job could already have
+/// been read.
 #[test]
 fn a_queued_start_waits_while_the_view_of_the_jobs_is_stale() {
     let mut sim = SchedulerSim::open(config(), workers(4));
--- a/tests/scheduler_vms.rs
+++ b/tests/scheduler_vms.rs
@@ -1,4 +1,4 @@
-//! What a leader concludes from the VM service's answers, late and lost ones too.
+//! Conclusions that a leader draws from the VM service's answers, also late and lost ones.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use ibisweir::jobs::site::{VmEntry, VmState, WorkerEntry};
 use support::sim::{POOL, STANDBY, SchedulerSim, config, job, job_id, step, task, vm, worker};
 
-/// One worker at work and a VM on standby that the next job calls for.
+/// One worker at work, and a standby VM that the next job needs, whose command has this outcome.
 fn request_vm(outcome: VmOutcome) -> (SchedulerSim, WorkerEntry) {
     let pool = worker("w0", "r0");
     let mut sim = SchedulerSim::open(config(), vec![pool.clone()]);
@@ -21,22 +21,23 @@
     (sim, pool)
 }
 
-/// The VM of `pool`, and a second one in pool `place` with this worker on it.
+/// A VM list with the VM of `pool`, and a second VM in pool `place` with this worker on it.
 fn listed(pool: &WorkerEntry, place: &str, incarnation: &str) -> Vec<VmEntry> {
     let second = vm(&worker(incarnation, "r9"), place);
     vec![vm(pool, POOL), VmEntry { vm: "s0".into(), ..second }]
 }
 
-/// The VM service takes seconds to answer, and a command is given up. It was carried out all the same:
-/// the VM's new worker reports itself and runs tasks. Then a repeat is answered. The tasks run on, so
-/// that answer must not take their worker for gone, or each of them would run a second time elsewhere.
+/// The VM service takes seconds to answer, and a command times out although it was carried out: the
+/// VM's new worker reports itself and runs tasks. Then a repeated command is answered. The tasks
+/// still run, so that answer must not end their worker's incarnation, or each of them would run a
+/// second time elsewhere.
 #[test]
 fn a_repeated_command_does_not_end_a_worker_that_came_after_the_first_attempt() {
     let (mut sim, pool) = request_vm(VmOutcome::Unknown);
     let fresh = worker("w1", "r9");
     sim.workers.insert(fresh.id.clone(), Default::default());
     sim.scheduler.worker_seen(fresh.clone(), sim.now);
-    // The list shows the new worker as well, as one that was asked for before the first try.
+    // The list shows the new worker too, but was requested before the first attempt.
     sim.scheduler.update_vms(listed(&pool, STANDBY, "w1"), sim.now - 150, sim.now);
     sim.advance(20);
     let on_fresh = sim.workers["w1"].running.len();
@@ -44,7 +45,7 @@
 
     sim.vm_outcome = VmOutcome::Done;
     sim.advance(400);
-    // Room elsewhere, where a task that is taken for lost would start again.
+    // Free capacity elsewhere, where a task that is declared lost would start again.
     for index in 0..14 {
         let key = task(job_id(1), 0, index);
         if &*sim.place(key) == "w0" {
@@ -60,7 +61,7 @@
 }
 
 /// The same, but the list shows the VM in its new pool before any answer has come: the command was
-/// carried out, and needs no repeat.
+/// carried out and must not be repeated.
 #[test]
 fn the_list_shows_that_an_unanswered_command_was_carried_out() {
     let (mut sim, pool) = request_vm(VmOutcome::Unknown);
@@ -69,9 +70,9 @@
     assert_eq!(sim.vm_commands.len(), 1, "{:?}", sim.vm_commands);
 }
 
-/// A command to give a VM away has no answer, and was not carried out. The VM crashes and comes back, and
-/// its new worker is given tasks before the list shows it. A repeat now would end them: it waits until
-/// nothing runs there.
+/// A command to move a VM to another pool gets no answer and was not carried out. The VM crashes
+/// and comes back, and its new worker gets tasks before the list shows it. A repeated command would
+/// end them: it must wait until nothing runs there.
 #[test]
 fn a_repeated_command_waits_until_the_vm_is_empty_again() {
     let entries = vec![worker("w0", "r0"), worker("w1", "r0")];
@@ -93,7 +94,7 @@
     sim.scheduler.worker_seen(fresh.clone(), sim.now);
     sim.submit(2, job(vec![step(12)]));
     sim.advance(100);
-    assert!(!sim.workers["w2"].running.is_empty(), "the new life took tasks");
+    assert!(!sim.workers["w2"].running.is_empty(), "the new incarnation got tasks");
     let shown: Vec<VmEntry> = entries
         .iter()
         .map(|entry| match entry.id == incarnation {
--- a/tests/second_runs_model.rs
+++ b/tests/second_runs_model.rs
@@ -1,8 +1,10 @@
-//! Orders of events in which a task could run in two places: tries of a start that overlap, refusals, late calls,
-//! answers that overtake each other, and changes of leaders while both leaders are at work.
+//! Random histories in which a task could run in two places: overlapping attempts to start it,
+//! refusals, delayed calls, answers that overtake each other, and changes of leaders while both
+//! leaders act.
 //!
-//! Checked: no task has two runs alive at a time. A worker's next life gets nothing that was sent to the one before.
-//! `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` draw other and more histories.
+//! Checked: no task has two runs alive at a time. The next incarnation of a worker receives nothing
+//! that was sent to the one before. `IBISWEIR_TEST_SEED` and `IBISWEIR_TEST_RUNS` select other and
+//! more histories.
 
 mod support;
 
@@ -31,37 +33,38 @@
     worker,
 };
 
-/// Histories in CI.
+/// Number of histories in CI.
 const RUNS: u64 = 60;
 /// Length of a history, in milliseconds.
 const HISTORY_MS: u64 = 30_000;
-/// Time between two turns of a leader, in milliseconds.
+/// Interval between two turns of a leader, in milliseconds.
 const TURN_MS: u64 = 10;
 const WORKERS: usize = 4;
 const JOBS: u64 = 40;
-/// Start of the model's time.
+/// Start of the simulated time, in milliseconds.
 const BEGIN_MS: u64 = 100_000;
 /// Longest time that a call is on its way before it is carried out, in milliseconds.
 const CALL_DELAY_MAX_MS: u64 = 4_000;
-/// Longest time that a start is on its way where it waits in an executor, in milliseconds.
+/// Longest time that a start is on its way if it waits in an executor, in milliseconds.
 const EXECUTOR_DELAY_MAX_MS: u64 = 2_000;
-/// Time for a start to be answered, sent by the leader and through an executor, in milliseconds.
+/// Timeouts of a start sent by the leader and through an executor, in milliseconds.
 const START_TIMEOUTS_MS: [u64; 3] = [450, 900, 900];
-/// Time after which a leader gives a stop up, in milliseconds.
+/// Timeout of a stop, in milliseconds.
 const STOP_TIMEOUT_MS: u64 = 1_500;
-/// Time for which an answer to a renewal is read on, in milliseconds.
+/// Age up to which the leader still reads an answer to a renewal, in milliseconds.
 const ANSWER_AGE_MAX_MS: u64 = 4_000;
 
-/// How tries of starts fare.
+/// How attempts to start runs fare.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StartLoad {
-    /// Workers that are unwell refuse every start.
+    /// Unhealthy workers refuse every start.
     Usual,
-    /// Workers are unwell often and refuse a part of the starts, and half of the tries go through slow executors.
+    /// Workers are often unhealthy and refuse some of the starts, and half of the attempts go
+    /// through slow executors.
     Strained,
 }
 
-/// A life of a worker.
+/// An incarnation of a worker.
 struct ModelWorker {
     entry: WorkerEntry,
     started_ms: u64,
@@ -75,7 +78,7 @@
     next_exit: u64,
     is_full: bool,
     is_unhealthy: bool,
-    /// Whether it refuses only a part of the starts while it is unwell.
+    /// Whether it refuses only some of the starts while it is unhealthy.
     is_shedding: bool,
     is_listed: bool,
 }
@@ -196,7 +199,7 @@
     }
 }
 
-/// An entry that leads, or takes itself for the leader.
+/// An entry that leads, or still believes that it does.
 struct ModelLeader {
     scheduler: Scheduler,
     term: u64,
@@ -210,7 +213,7 @@
     renew_ms: u64,
 }
 
-/// What comes later.
+/// An event that is due later.
 enum ModelEvent {
     Turn,
     RandomEvent,
@@ -241,7 +244,7 @@
     end: u64,
     /// Highest term that has written to the job log.
     epoch: u64,
-    /// Newest claim, and when the leadership stream last grew.
+    /// Term of the newest claim, and when the leadership stream last grew.
     claimed: u64,
     renewed_ms: u64,
     workers: Vec<ModelWorker>,
@@ -338,7 +341,7 @@
         self.workers.iter_mut().find(|worker| *worker.entry.id == *id)
     }
 
-    /// How long a call takes to its worker, and its answer back; nothing for one that is lost.
+    /// Delays of a call and of its answer; `None` for one that is lost.
     fn draw_delays(&mut self) -> (Option<u64>, Option<u64>) {
         let call_delay = match self.random.random_range(0..20) {
             0 => None,
@@ -363,13 +366,15 @@
                 self.start_arrives(term, id, &call, answer_delay);
             }
             ModelEvent::StartAnswered(term, id, key, run, outcome) => {
-                self.trace(format!("{term} hears of {key}/{run} on {id}: {outcome:?}"));
+                self.trace(format!(
+                    "{term} learns the outcome of {key}/{run} on {id}: {outcome:?}"
+                ));
                 self.with(term, |scheduler, now| {
                     scheduler.handle_start_outcome(&id, &key, run, &outcome, now)
                 });
             }
             ModelEvent::NotSent(term, key, run) => {
-                self.trace(format!("{term} hears that {key}/{run} was not sent"));
+                self.trace(format!("{term} learns that {key}/{run} was not sent"));
                 self.with(term, |scheduler, now| scheduler.start_not_sent(&key, run, now));
             }
             ModelEvent::StopArrives(term, id, call, answer_delay) => {
@@ -584,7 +589,7 @@
         let (key, run) = (call.task, call.run);
         let outcome = self.worker(&id).map(|worker| worker.start(call, now));
         self.trace(format!("start of {key}/{run} at {id}: {outcome:?}"));
-        // The life is over: the connection is closed.
+        // The incarnation is over: the connection is closed.
         let outcome = outcome.unwrap_or(CommandOutcome::Unknown);
         if let Some(ms) = answer_delay {
             self.schedule(ms, ModelEvent::StartAnswered(term, id, key, run, outcome));
@@ -683,7 +688,7 @@
         }
     }
 
-    /// Another entry claims, once the stream was quiet for long enough.
+    /// Another entry claims the leadership once the stream was quiet for long enough.
     fn claim(&mut self, term: u64) {
         if self.claimed >= term {
             return;
@@ -740,7 +745,7 @@
 
     fn toggle_link(&mut self, term: u64, position: usize) {
         let name: Arc<str> = worker_name(&self.workers[position].entry.id).into();
-        self.trace(format!("{term} and {name}: cut or joined"));
+        self.trace(format!("{term} and {name}: link toggled"));
         let Some(leader) = self.leader(term) else { return };
         if !leader.unreachable.remove(&name) {
             leader.unreachable.insert(name);
@@ -795,7 +800,7 @@
         self.end += 1;
     }
 
-    /// The newest leader is killed, or cut off from the log and works on.
+    /// The newest leader is killed, or partitioned from the log while it still acts.
     fn lose_leader(&mut self) {
         let Some(term) = self.newest_term().filter(|term| *term == self.claimed) else { return };
         let is_killed = self.chance(3);
@@ -808,7 +813,7 @@
         self.schedule(1, ModelEvent::Claim(term + 1));
     }
 
-    /// A worker begins anew under its name; leaders read of it a moment later.
+    /// Restarts a worker under its name; leaders read of it a moment later.
     fn restart_worker(&mut self, position: usize) {
         self.restarts += 1;
         let (now, slow_percent) = (self.now, self.workers[position].slow_percent);
@@ -817,7 +822,7 @@
             id: incarnation_id(worker_name(&before.id), Some(now)),
             ..before.clone()
         };
-        self.trace(format!("{} begins anew as {}", before.id, entry.id));
+        self.trace(format!("{} restarts as {}", before.id, entry.id));
         let next = ModelWorker::begin(entry.clone(), slow_percent, now);
         self.workers[position] =
             ModelWorker { is_shedding: self.load == StartLoad::Strained, ..next };
@@ -825,7 +830,7 @@
         self.schedule(ms, ModelEvent::EntryRead(entry));
     }
 
-    /// Entries of workers go and come back, also while the workers run on.
+    /// Removes or restores a worker's entry, also while the worker runs.
     fn toggle_entry(&mut self, position: usize) {
         let worker = &mut self.workers[position];
         worker.is_listed ^= true;
@@ -860,7 +865,7 @@
         self.trace(format!("{key} ends on worker {position}"));
     }
 
-    /// What was told of the task with two runs, and of all workers and leaders.
+    /// Trace of the task with two runs, and of all workers and leaders.
     fn trace_of(&self, fault: &str) -> String {
         let name = fault.split(' ').next().unwrap_or_default();
         let is_other = |line: &str| {
@@ -875,7 +880,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// Plays histories from this seed on, unless another is asked for.
+/// Runs histories from this seed on, unless the environment sets another.
 fn run_histories(load: StartLoad, usual_seed: u64) {
     let first = env_number("IBISWEIR_TEST_SEED", usual_seed);
     let (mut starts, mut broken, mut trace_of) = (0, Vec::new(), String::new());
@@ -895,14 +900,14 @@
     assert!(starts > 0, "the histories must show something");
 }
 
-/// Guards against orders of events in which a run is taken for over, or for never begun, while its worker has it or
-/// may yet take it.
+/// Guards against orders of events in which a run is declared over, or never begun, while its
+/// worker runs it or may yet accept it.
 #[test]
 fn no_task_has_two_runs_in_any_order_of_attempts_and_leaders() {
     run_histories(StartLoad::Usual, 1);
 }
 
-/// Guards against the same where one try of a start is refused beside another that is carried out.
+/// Guards against the same if one attempt at a start is refused while another is carried out.
 #[test]
 fn no_task_has_two_runs_where_workers_refuse_some_starts() {
     run_histories(StartLoad::Strained, 1);
--- a/tests/start_deadline.rs
+++ b/tests/start_deadline.rs
@@ -1,5 +1,5 @@
-//! No start begins on a worker once a cancellation of its job could have been acknowledged for longer than is
-//! promised, however it came there.
+//! No start may begin on a worker later than the promised time after a cancellation of its job
+//! could have been acknowledged, by whatever way the start arrives.
 
 mod support;
 
@@ -18,7 +18,8 @@
     SchedulerSim, WALL_OFFSET_MS, bounds, config, job, job_id, step, submission, task, worker,
 };
 
-/// A start that is on its way to the only worker, and when all was known that the job log held.
+/// A start that is on its way to the only worker, and the time up to which the job log had been
+/// read.
 struct DelayedStart {
     sim: SchedulerSim,
     key: TaskKey,
@@ -26,7 +27,7 @@
 }
 
 impl DelayedStart {
-    /// One that was sent by a view of the jobs that is almost as old as it may be.
+    /// A start that was sent with a view of the jobs almost as old as allowed.
     fn open(slow_percent: u64, idle_ms: u64) -> DelayedStart {
         let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
         let w0 = sim.workers.get_mut("w0").expect("known");
@@ -42,7 +43,8 @@
         DelayedStart { sim, key: task(id, 0, 0), shown_ms }
     }
 
-    /// Whether the worker carries it out if it comes that long after the view. The leader does nothing more.
+    /// Whether the worker carries it out if it arrives `ms` after the view. The leader does nothing
+    /// more.
     fn begins_after(mut self, ms: u64) -> bool {
         self.sim.now = self.shown_ms + ms;
         self.sim.deliver_late("w0");
@@ -50,15 +52,15 @@
     }
 }
 
-/// Guards against a start that was decided just before its job was cancelled and that the network delivers seconds
-/// later, while its leader stands still and sends no stop.
+/// Guards against a start that was decided just before its job was cancelled and that the network
+/// delivers seconds later, while the leader stands still and sends no stop.
 #[test]
 fn a_start_that_arrives_after_the_deadline_is_refused() {
     assert!(!DelayedStart::open(0, 0).begins_after(bounds().cancel_ms));
     assert!(DelayedStart::open(0, 0).begins_after(bounds().cancel_ms - 200), "it came in time");
 }
 
-/// Guards against the same on a worker whose clock is slow, and was last read a while ago.
+/// Guards against the same on a worker whose clock is slow and was last read a while ago.
 #[test]
 fn a_slow_clock_lets_no_start_begin_later() {
     for idle_ms in [0, 20_000] {
@@ -68,7 +70,7 @@
     }
 }
 
-/// Guards against the same start when another entry carries it out for the leader.
+/// Guards against the same if another entry carries out the start for the leader.
 #[tokio::test]
 async fn a_delegated_start_that_arrives_after_the_deadline_is_refused() {
     for (after_ms, begins) in [(bounds().cancel_ms, false), (bounds().cancel_ms - 200, true)] {
@@ -81,7 +83,7 @@
     }
 }
 
-/// What an executor sends to the worker for these starts.
+/// Delegates these starts to an executor, and returns the calls that it sends to the worker.
 async fn carry_out_all(sent: &[StartCall]) -> Vec<StartCall> {
     let (node, workers) = (idle_node(), RecordingWorkers::default());
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
@@ -103,7 +105,8 @@
     workers.starts().clone()
 }
 
-/// Guards against a task that waits long for a worker that was idle, whose clock is ahead of what is known of it.
+/// Guards against a task that waits long for an idle worker whose clock is ahead of its
+/// extrapolated reading.
 #[test]
 fn a_start_refused_as_late_is_sent_again_at_once() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -118,8 +121,8 @@
     assert_eq!(sim.events.iter().filter(is_late).count(), 1, "operators see it");
 }
 
-/// Guards against a leader that sends refused starts again and again, with nothing new to say: its view of the jobs
-/// is old, or the worker does not tell its clock.
+/// Guards against a leader that repeats refused starts with nothing new in them: its view of the
+/// jobs is old, or the worker does not report its clock.
 #[test]
 fn a_start_refused_as_late_is_not_repeated_without_end() {
     for is_view_old in [true, false] {
@@ -150,8 +153,8 @@
     }
 }
 
-/// Guards against work that lapses as its lease was that of its start: a worker that was idle is to have a whole
-/// lease before its first start comes.
+/// Guards against work that lapses because its only lease is that of its start: an idle worker must
+/// have a full lease before its first start arrives.
 #[test]
 fn an_idle_worker_gets_a_full_lease_before_its_first_start() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -170,7 +173,7 @@
     assert_eq!(sim.alive(task(id, 0, 0)), 1);
 }
 
-/// Guards against the same where that renewal is lost: the next one gives the whole lease.
+/// Guards against the same if that renewal is lost: the next one must grant the full lease.
 #[test]
 fn one_renewal_grants_the_full_lease() {
     let mut sim = SchedulerSim::open(config(), vec![worker("w0", "r0")]);
@@ -183,8 +186,9 @@
     assert!(sim.workers["w0"].lease_until_ms >= sim.now + bounds().lease_max_ms - 300);
 }
 
-/// Guards against a task that is started a second time while its first run may be alive, and against one that waits
-/// longer than that: a short lease is booked as long as it may last, on a clock that is right and on one that is slow.
+/// Guards against a task that is started a second time while its first run may be alive, and
+/// against one that waits longer than that: a short lease must count for as long as it may last, on
+/// an exact clock and on a slow one.
 #[test]
 fn the_lease_of_a_start_counts_for_as_long_as_it_may_last() {
     let (sampled_ms, deadline_ms) = (100_000, 102_900);
@@ -200,8 +204,8 @@
     assert!(bound <= deadline_ms + 200, "{bound}");
 }
 
-/// Guards against a start that is sent again and again, or waits in its lane, until long after its worker was known to
-/// be leaving.
+/// Guards against a start that is repeated, or waits in its lane, until long after its worker was
+/// known to be leaving.
 #[test]
 fn no_start_is_sent_to_a_worker_that_is_known_to_be_leaving() {
     for is_sent in [false, true] {
@@ -221,6 +225,6 @@
         let on = |id: &str| sim.started.iter().filter(|(.., on)| **on == *id).count();
         assert_eq!((on(place), sim.started.len()), (0, 1));
         sim.deliver_late(place);
-        assert_eq!(sim.starts(task(id, 0, 0)), 1, "a stop has ruled it out");
+        assert_eq!(sim.starts(task(id, 0, 0)), 1, "a stop has excluded it");
     }
 }
--- a/tests/support/fixtures.rs
+++ b/tests/support/fixtures.rs
@@ -1,4 +1,4 @@
-//! What scenes on the stage are made of: a configuration, workers, VMs, jobs.
+//! Fixtures of the simulated scheduler: a configuration, workers, VMs, jobs.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,14 @@
 /// Queue and pool of most tests.
 pub const QUEUE: &str = "holds";
 pub const POOL: &str = "tours";
-/// Pool whose VMs are off.
+/// Standby pool; its VMs are off.
 pub const STANDBY: &str = "helpers";
-/// Start of the stage's time: a new leader with no predecessor needs no bound.
+/// Start of the simulated time: a new leader without a predecessor needs no lease bound.
 pub const START_MS: u64 = 100_000;
-/// Wall clock at the stage's time 0, in milliseconds since the epoch.
+/// Wall clock at the simulated time 0, in milliseconds since the epoch.
 pub const WALL_OFFSET_MS: u64 = 1_700_000_000_000;
 
-/// Times as the users' sites have them.
+/// Time bounds as the users' sites have them.
 pub fn bounds() -> SiteBounds {
     SiteBounds {
         lease_max_ms: 6_000,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Settings of an entry that binds nothing.
+/// Settings of an entry that binds no address.
 pub fn site_settings() -> SiteSettings {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     SiteSettings {
@@ -69,7 +69,7 @@
     }
 }
 
-/// A queue.
+/// A queue with the usual limits, served by a pool.
 pub fn queue(name: &str, service: &str) -> QueueSpec {
     QueueSpec {
         name: name.into(),
@@ -96,14 +96,14 @@
     }
 }
 
-/// A step of tasks that last.
+/// A step of service tasks, one per worker, of which one may be away.
 pub fn service_step(count: u32) -> StepSpec {
     StepSpec { is_service: true, per_worker_max: 1, disruption_budget: 1, ..step(count) }
 }
 
 /// A worker of eight cores.
 pub fn worker(name: &str, rack: &str) -> WorkerEntry {
-    // Each VM has an address of its own, which its next life keeps.
+    // Each VM has its own address, which its next incarnation keeps.
     let port = name.bytes().fold(1, |sum: u16, byte| sum.wrapping_mul(31) ^ u16::from(byte));
     WorkerEntry {
         id: name.into(),
@@ -130,7 +130,7 @@
     }
 }
 
-/// A job's id.
+/// Id of a job, from a number.
 pub fn job_id(id: u64) -> JobId {
     JobId::parse(&format!("{id:016x}")).expect("sixteen digits")
 }
@@ -145,7 +145,7 @@
     JobSpec { payload: "text".to_owned(), steps, schedule: None }
 }
 
-/// What an entry writes for a job.
+/// The submission that an entry writes for a job.
 pub fn submission(spec: JobSpec) -> JobSubmission {
     JobSubmission {
         queue: QUEUE.into(),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a small HTTP client, waits, and processes.
+//! Shared test support: a small HTTP client, waits, and processes.
 #![allow(dead_code, reason = "each test file uses its own part of this module")]
 
 pub mod cancel_callers;
@@ -20,10 +20,10 @@
 use hyper_util::rt::TokioIo;
 use ibisweir::request::CODE_HEADER;
 
-/// Longest wait of a test for something that must come; only a hang reaches it.
+/// Longest wait of a test for an event that must happen; only a hang reaches it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// An answer as a caller sees it.
+/// An answer as a caller receives it.
 #[derive(Debug)]
 pub struct SeenAnswer {
     pub status: u16,
@@ -32,7 +32,7 @@
     pub body: Bytes,
 }
 
-/// One request on a connection of its own; panics if no whole answer comes.
+/// Sends one request on its own connection; panics if no whole answer comes.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -43,7 +43,7 @@
     try_call(address, method, path, headers, body).await.expect("a whole answer")
 }
 
-/// One request on a connection of its own.
+/// Sends one request on its own connection; `None` if no whole answer comes.
 pub async fn try_call(
     address: SocketAddr,
     method: Method,
@@ -66,17 +66,17 @@
     Some(SeenAnswer { status: head.status.as_u16(), code, headers: head.headers, body })
 }
 
-/// A GET.
+/// Sends a GET.
 pub async fn get(address: SocketAddr, path: &str) -> SeenAnswer {
     call(address, Method::GET, path, &[], b"").await
 }
 
-/// A POST without a body.
+/// Sends a POST without a body.
 pub async fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)]) -> SeenAnswer {
     call(address, Method::POST, path, headers, b"").await
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after `WAIT_TIMEOUT`.
 pub async fn wait(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !holds().await {
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -1,4 +1,5 @@
-//! A scheduler on a stage: workers that do what they are told at once, and time that the test moves.
+//! A simulated site around a scheduler: workers that carry out commands at once, and a clock that
+//! the test advances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,35 +22,35 @@
 pub use super::fixtures::*;
 pub use super::sim_worker::SimWorker;
 
-/// The scheduler, its book and its workers.
+/// The scheduler, its job table and its workers.
 pub struct SchedulerSim {
     /// The scheduler.
     pub scheduler: Scheduler,
-    /// What the log tells.
+    /// Job table folded from the log.
     pub job_table: JobTable,
-    /// End of the log.
+    /// Offset of the end of the log.
     pub end: u64,
     /// Workers by id.
     pub workers: BTreeMap<Arc<str>, SimWorker>,
     /// Every start that a worker carried out, in order.
     pub started: Vec<(TaskKey, u32, Arc<str>)>,
-    /// Runs whose start a worker carried out late.
+    /// Runs whose start a worker carried out after a delay.
     pub started_late: BTreeSet<(TaskKey, u32)>,
-    /// Commands to VMs.
+    /// Commands that were sent to VMs.
     pub vm_commands: Vec<VmCommand>,
-    /// Decisions that were logged.
+    /// Events that the scheduler emitted.
     pub events: Vec<SchedulerEvent>,
-    /// Times that the VM list was asked for.
+    /// Number of requests of the VM list.
     pub list_requests: usize,
-    /// Waves told to operators.
+    /// Wave statuses published to operators.
     pub wave_statuses: Vec<(u64, bool)>,
-    /// Steps and workers for which permits were asked.
+    /// Steps and workers for which permits were requested.
     pub permits_requested: Vec<(StepKey, Vec<Arc<str>>)>,
     /// Permits that starts carried.
     pub permits_used: Vec<Option<Arc<str>>>,
     /// Gauges that workers report.
     pub gauges: BTreeMap<TaskKey, u64>,
-    /// Ends of leases that renewals asked for.
+    /// Ends of leases that renewals requested.
     pub leases: Vec<u64>,
     /// Workers whose leases were to be renewed at once, in order.
     pub immediate_renewals: Vec<Arc<str>>,
@@ -57,67 +58,68 @@
     pub stops: Vec<(TaskKey, u32)>,
     /// Throttles sent.
     pub throttles: Vec<(TaskKey, u32)>,
-    /// Whether throttles go unanswered.
+    /// Whether throttles get no answer.
     pub are_throttles_lost: bool,
     /// Whether commands wait in their lanes until the test empties them.
     pub is_lane_held: bool,
     lane: Vec<(Arc<str>, TaskKey, u32)>,
-    /// Whether what workers say of themselves is read.
+    /// Whether the workers' reports of themselves are read.
     pub is_reading_workers: bool,
     /// Whether the job log is read.
     pub is_reading_jobs: bool,
     /// Whether the log takes appends.
     pub is_log_up: bool,
-    /// Whether the VM service answers `Done` to commands.
+    /// Outcome of every command to a VM.
     pub vm_outcome: VmOutcome,
-    /// Promised times of the site, from the next leader on.
+    /// Time bounds of the site, from the next leader on.
     pub bounds: SiteBounds,
-    /// What the next leader knows of the end of the one before.
+    /// What the next leader knows about the end of its predecessor.
     pub predecessor_end: PredecessorEnd,
-    /// Now.
+    /// Simulated time, in milliseconds.
     pub now: u64,
-    /// Whether no renewal is sent.
+    /// Whether no renewals are sent.
     pub are_renewals_muted: bool,
-    /// Whether the entries of workers that begin anew stay as they were until the test shows them.
+    /// Whether entries of restarted workers stay unchanged until the test shows the restarts.
     pub are_restarts_hidden: bool,
     /// Tasks that are done as soon as they are started.
     pub instant_tasks: BTreeSet<TaskKey>,
     /// Tasks that crash each worker that starts them.
     pub crashing_tasks: BTreeSet<TaskKey>,
-    /// Time from such a start to the crash, in milliseconds.
+    /// Time from the start of a crashing task to the crash, in milliseconds.
     pub crash_after_ms: u64,
-    /// Time from a crash to the next life, in milliseconds: silence is noticed after 0.2 s.
+    /// Time from a crash to the next incarnation, in milliseconds: silence is noticed after 0.2 s.
     pub restart_ms: u64,
-    /// Whether such a start is answered before the crash.
+    /// Whether the start of a crashing task is answered before the crash.
     pub is_start_answered: bool,
     /// Workers that were lost, in order.
     pub lost: Vec<Arc<str>>,
     entries: Vec<WorkerEntry>,
     unlisted: BTreeSet<Arc<str>>,
-    /// Lives that the leader asked to watch; others it can't call.
+    /// Incarnations whose leases the leader asked to renew; it can't call others.
     watched: BTreeSet<Arc<str>>,
     crashes: u32,
-    /// Workers that are going to crash, or that have and whose next lives are not listed yet.
+    /// Workers that are about to crash, or have crashed and whose next incarnations are not listed
+    /// yet.
     crashing_workers: Vec<CrashingWorker>,
 }
 
-/// A worker under a task that crashes it.
+/// A worker that a task is about to crash or has crashed.
 struct CrashingWorker {
     id: Arc<str>,
     crash_ms: u64,
-    /// When the VM list shows its next life.
+    /// When the VM list shows its next incarnation.
     restarted_ms: u64,
 }
 
 impl SchedulerSim {
-    /// One whose workers tell when they were born.
+    /// Opens a simulation whose worker ids carry their incarnation.
     pub fn open_with_incarnations(config: SiteConfig, entries: Vec<WorkerEntry>) -> SchedulerSim {
         let with_incarnation =
             |entry: WorkerEntry| WorkerEntry { id: incarnation_id(&entry.id, Some(0)), ..entry };
         SchedulerSim::open(config, entries.into_iter().map(with_incarnation).collect())
     }
 
-    /// A leader of term 1 with these workers, all under its token.
+    /// Opens a simulation with a leader of term 1 that has called all of these workers.
     pub fn open(config: SiteConfig, entries: Vec<WorkerEntry>) -> SchedulerSim {
         let mut sim = SchedulerSim {
             scheduler: leader(1, None, bounds(), config, &JobTable::default(), START_MS),
@@ -166,7 +168,7 @@
         sim
     }
 
-    /// Another entry takes over from the log; the old leader says no more.
+    /// Replaces the leader by another entry's, which takes over from the log.
     pub fn take_over(&mut self, term: u64, config: SiteConfig) {
         self.watched.clear();
         let before = PreviousLeader { seen_ms: self.now, end: self.predecessor_end };
@@ -175,7 +177,7 @@
         self.run_until_idle();
     }
 
-    /// A worker says something new of itself.
+    /// Passes a worker's changed report of itself to the scheduler.
     pub fn report(&mut self, entry: WorkerEntry) {
         let known = self.entries.iter_mut().find(|known| known.id == entry.id);
         *known.expect("the worker is known") = entry.clone();
@@ -183,13 +185,13 @@
         self.run_until_idle();
     }
 
-    /// Runs that are planned for a worker or on it.
+    /// Number of runs that were placed on a worker so far.
     pub fn scheduled_on(&self, id: &str) -> usize {
         let is_placed = |event: &&SchedulerEvent| matches!(event, SchedulerEvent::Placed { worker, .. } if **worker == *id);
         self.events.iter().filter(is_placed).count()
     }
 
-    /// A worker's entry is gone; the worker runs on, and its VM is listed.
+    /// Hides a worker's entry from the next lists; the worker runs on, and its VM is listed.
     pub fn unlist(&mut self, id: &str) {
         self.unlisted.insert(id.into());
     }
@@ -206,7 +208,7 @@
         self.scheduler.workers_listed(listed, self.now);
     }
 
-    /// Hands a job in and lets the scheduler act.
+    /// Submits a job and lets the scheduler act.
     pub fn submit(&mut self, id: u64, spec: JobSpec) -> JobId {
         let job = job_id(id);
         let record = JobRecord::Submitted(job, Arc::new(submission(spec)));
@@ -215,7 +217,7 @@
         job
     }
 
-    /// Puts a record on the log that some entry wrote.
+    /// Appends a record that some entry wrote.
     pub fn append(&mut self, record: &JobRecord) {
         if self.job_table.fold(record, self.end) {
             self.scheduler.apply_record(record, self.now);
@@ -223,7 +225,7 @@
         self.end += 1;
     }
 
-    /// Moves the time in steps, letting everybody act.
+    /// Advances the time in steps, in which the leader and the workers act.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -241,7 +243,7 @@
         }
     }
 
-    /// The same while the leadership can't be confirmed.
+    /// Advances the time while the leadership can't be confirmed.
     pub fn advance_unconfirmed(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -251,13 +253,13 @@
         }
     }
 
-    /// A worker loses all that it runs, and its VM comes back with another life.
+    /// Crashes a worker: its runs are lost, and its VM comes back with another incarnation.
     pub fn crash(&mut self, id: &str) {
         self.crash_all(&[id]);
     }
 
-    /// A worker begins anew under its name: it runs and knows nothing, but for the starts that went unanswered,
-    /// which may yet come. Nobody is told.
+    /// Restarts a worker under its name. It has no runs and knows nothing, except for the starts
+    /// that got no answer, which may still arrive. Returns the id of the new incarnation.
     pub fn restart_worker(&mut self, id: &str) -> Arc<str> {
         let before = self.workers.remove(id).expect("the worker is known");
         self.crashes += 1;
@@ -270,7 +272,7 @@
         next
     }
 
-    /// The entries of all workers tell of their present lives.
+    /// Updates the entries of all workers to their present incarnations.
     fn write_restarts(&mut self) {
         for entry in &mut self.entries {
             let name = worker_name(&entry.id);
@@ -280,7 +282,8 @@
         }
     }
 
-    /// The same, and they are read.
+    /// Updates the entries of all workers to their present incarnations, and lets the leader read
+    /// them.
     pub fn show_restarts(&mut self) {
         self.write_restarts();
         for entry in self.entries.clone() {
@@ -289,7 +292,7 @@
         self.run_until_idle();
     }
 
-    /// The VM list is read, which knows workers by their names alone.
+    /// Lets the leader read the VM list, which knows workers by their names alone.
     pub fn list_vms(&mut self) {
         let named = |entry: &WorkerEntry| {
             let name = worker_name(&entry.id);
@@ -300,20 +303,20 @@
         self.run_until_idle();
     }
 
-    /// The entries of all workers as they are now.
+    /// The present entry of a worker.
     pub fn entry(&self, id: &str) -> WorkerEntry {
         let entry = self.entries.iter().find(|entry| &*entry.id == id);
         entry.expect("the worker is known").clone()
     }
 
-    /// The worker that a call to this life reaches: the present life of the same name.
+    /// The worker that a call to an incarnation reaches: the present incarnation of the same name.
     fn reach(&mut self, id: &str) -> Option<&mut SimWorker> {
         let is_same = |other: &&Arc<str>| worker_name(other) == worker_name(id);
         let present = self.workers.keys().find(is_same).cloned()?;
         self.workers.get_mut(&present)
     }
 
-    /// Several workers at once, as when a rack loses power.
+    /// Crashes several workers at once, as when a rack loses power.
     pub fn crash_all(&mut self, ids: &[&str]) {
         for id in ids {
             self.workers.remove(*id);
@@ -330,7 +333,7 @@
         self.run_until_idle();
     }
 
-    /// Lets workers crash under the tasks that do that, and brings the next lives.
+    /// Crashes the workers whose crash is due, and brings up their next incarnations.
     fn crash_due(&mut self) {
         let now = self.now;
         let (over, crashing_workers): (Vec<_>, Vec<_>) = std::mem::take(&mut self.crashing_workers)
@@ -349,7 +352,7 @@
         }
     }
 
-    /// Whether a start dooms its worker.
+    /// Schedules the crash of a worker if it has just started a crashing task.
     fn schedule_crash(&mut self, id: &Arc<str>, task: &TaskKey) {
         if !self.crashing_tasks.contains(task)
             || self.crashing_workers.iter().any(|crashing| crashing.id == *id)
@@ -368,7 +371,7 @@
         }
     }
 
-    /// Lets a task get on by some percent, and then the time by some milliseconds.
+    /// Advances the progress of a task by some percent, and then the time by some milliseconds.
     pub fn progress(&mut self, key: TaskKey, percent: u32, ms: u64) {
         for worker in self.workers.values_mut() {
             for ((task, _), done) in &mut worker.running {
@@ -380,14 +383,14 @@
         self.advance(ms);
     }
 
-    /// Ends a run on its worker.
+    /// Ends the latest run of a task on its worker.
     pub fn end(&mut self, key: TaskKey, kind: ExitKind) {
         let run = self.started.iter().rev().find(|(task, ..)| *task == key).cloned();
         let (_, run, worker) = run.expect("the task was started");
         self.end_run(key, run, &worker, kind);
     }
 
-    /// Ends this run on this worker.
+    /// Ends a run on a worker.
     pub fn end_run(&mut self, key: TaskKey, run: u32, worker: &str, kind: ExitKind) {
         let worker = self.workers.get_mut(worker).expect("the worker is known");
         worker.exit(key, run, kind);
@@ -399,14 +402,14 @@
         self.job_table.get(job).and_then(|entry| entry.state())
     }
 
-    /// Runs of a task that are alive on any worker.
+    /// Number of runs of a task that are alive on any worker.
     pub fn alive(&self, key: TaskKey) -> usize {
         let on =
             |worker: &SimWorker| worker.running.keys().filter(|(task, _)| *task == key).count();
         self.workers.values().map(on).sum()
     }
 
-    /// Starts of a task that workers carried out.
+    /// Number of starts of a task that workers carried out.
     pub fn starts(&self, key: TaskKey) -> usize {
         self.started.iter().filter(|(task, ..)| *task == key).count()
     }
@@ -417,7 +420,7 @@
         run.map(|(.., worker)| worker.clone()).expect("the task was started")
     }
 
-    /// Lets the scheduler act until it has no more to do at this time.
+    /// Lets the scheduler act until it has nothing more to do at this time.
     pub fn run_until_idle(&mut self) {
         for _ in 0..50 {
             self.scheduler.tick(self.now, WALL_OFFSET_MS + self.now);
@@ -487,7 +490,7 @@
         true
     }
 
-    /// Sends what waits in the lanes.
+    /// Sends the commands that wait in the lanes.
     pub fn empty_lanes(&mut self) {
         for (id, task, run) in std::mem::take(&mut self.lane) {
             self.send(&id, task, run);
@@ -560,7 +563,7 @@
         CommandOutcome::Done(clock_ms)
     }
 
-    /// Carries out the starts that went unanswered on a worker.
+    /// Carries out the starts on a worker that got no answer.
     pub fn deliver_late(&mut self, id: &str) {
         let worker = self.workers.get_mut(id).expect("the worker is known");
         for call in std::mem::take(&mut worker.late) {
--- a/tests/support/sim_worker.rs
+++ b/tests/support/sim_worker.rs
@@ -1,4 +1,4 @@
-//! A worker on the stage: what it runs, what it lists, and what it refuses.
+//! A simulated worker: what it runs, lists and refuses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,56 +7,56 @@
 
 use super::fixtures::START_MS;
 
-/// What a worker on the stage holds.
+/// State and behaviour of a simulated worker.
 #[derive(Clone, Debug, Default)]
 pub struct SimWorker {
     /// Runs, with their progress in percent.
     pub running: BTreeMap<(TaskKey, u32), u32>,
     /// Exits that were not acknowledged.
     pub exits: Vec<TaskExit>,
-    /// Runs that were told to stop or have ended; they never start again.
+    /// Runs that were stopped or have ended; they never start again.
     pub refused: BTreeSet<(TaskKey, u32)>,
     /// Whether it leaves calls unanswered.
     pub is_silent: bool,
-    /// Whether its reports are from before anything was started.
+    /// Whether its reports date from before anything was started.
     pub is_stale: bool,
-    /// Whether starts go unanswered, to be carried out when the test says so.
+    /// Whether starts get no answer and are carried out when the test delivers them.
     pub is_late: bool,
-    /// Whether stops to it are lost, and nothing else.
+    /// Whether stops to it are lost, while all other calls arrive.
     pub are_stops_lost: bool,
-    /// Whether it says that it has no room for any start.
+    /// Whether it refuses every start for lack of capacity.
     pub is_full: bool,
     /// Whether it refuses every start as unhealthy.
     pub is_unhealthy: bool,
     /// Time that a stop takes, in milliseconds; until then the run is listed as running.
     pub stop_ms: u64,
-    /// Runs that were told to stop and have not ended, and when they will.
+    /// Runs that are being stopped, and when they end.
     pub ending: BTreeMap<(TaskKey, u32), u64>,
-    /// Starts that went unanswered.
+    /// Starts that got no answer and were not carried out yet.
     pub late: Vec<StartCall>,
-    /// End of the leases of all that runs.
+    /// End of the leases of its runs, by its clock.
     pub lease_until_ms: u64,
     /// By how much its clock is slow, in percent.
     pub slow_percent: u64,
-    /// When its clock began, in milliseconds; 0 for as long ago as the stage's time.
+    /// When its clock began, in milliseconds; 0 if it shows the simulated time.
     pub started_ms: u64,
-    /// Starts that it refused as their leases would have been over.
+    /// Number of starts that it refused because their leases were over.
     pub late_refusals: usize,
     /// Highest fencing token seen.
     pub fence: u64,
-    /// Exits listed so far.
+    /// Number of the newest exit.
     pub next_exit: u64,
 }
 
 impl SimWorker {
-    /// Its own clock.
+    /// Reading of its own clock.
     pub fn clock_ms(&self, now: u64) -> u64 {
         let begun_ms = self.started_ms.max(START_MS);
         let shown_ms = if self.started_ms == 0 { START_MS } else { 0 };
         shown_ms + (now - begun_ms) * (100 - self.slow_percent) / 100
     }
 
-    /// Whether the lease of a start is over; such a one is refused.
+    /// Whether the lease of a start is over; such a start is refused and counted.
     pub(super) fn is_too_late(&mut self, call: &StartCall, now: u64) -> bool {
         let is_late = call.lease_until_ms <= self.clock_ms(now);
         self.late_refusals += usize::from(is_late);
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Kills what runs once its lease is over.
+    /// Kills all runs once their lease is over.
     pub(super) fn expire(&mut self, now: u64) {
         if self.clock_ms(now) < self.lease_until_ms {
             return;
@@ -99,7 +99,7 @@
         self.refused.insert((task, run));
     }
 
-    /// Ends the runs whose stop has taken its time.
+    /// Ends the runs whose stop is due.
     pub(super) fn finish_stops(&mut self, now: u64) {
         let is_over = |(_, end): &(&(TaskKey, u32), &u64)| now >= **end;
         let over: Vec<(TaskKey, u32)> =
