--- a/src/jobs/caller_service.rs
+++ b/src/jobs/caller_service.rs
@@ -123,7 +123,7 @@
             info!(logger, "job already known"; "job" => %job);
             return reply_for_stored(caller, Some(&known));
         }
-        if self.node.is_log_away() {
+        if self.node.is_log_unreachable() {
             return outage_reply();
         }
         let submission = JobSubmission {
@@ -199,7 +199,7 @@
             return Ok(local);
         }
         // A job that the leader does not know may still be in the log, appended by another entry.
-        if self.node.is_turned_away()
+        if self.node.is_cut_off_from_log()
             && let Some(Some(found)) = self.relay.look(&self.node, job).await
         {
             return Ok(Some(found));
@@ -227,7 +227,7 @@
         let (record, what) = match &known {
             // If callers belong to organisations, it is unknown whether the cancellation would
             // apply.
-            Err(reply) if self.node.is_log_away() || self.needs_keys() => return *reply,
+            Err(reply) if self.node.is_log_unreachable() || self.needs_keys() => return *reply,
             Ok(Some(known)) if self.is_hidden(caller, job, known) => return no_such_job(),
             Ok(Some(known)) if known.state.is_final() => return CallerReply::Stored,
             Ok(Some(_)) => (JobRecord::Cancelled(job), "cancellation"),
@@ -260,13 +260,13 @@
         if !self.node.is_current() {
             return self.log_unread_reply();
         }
-        CallerReply::Waiting(self.node.book().waiting_jobs(&queue.name))
+        CallerReply::Waiting(self.node.job_table().waiting_jobs(&queue.name))
     }
 
     /// The reply if the log could not be read to its end: it is unavailable, or this entry is
     /// behind.
     fn log_unread_reply(&self) -> CallerReply {
-        if self.node.is_log_away() {
+        if self.node.is_log_unreachable() {
             return outage_reply();
         }
         CallerReply::Refused(ResultCode::BehindLog, Some(OUTAGE_RETRY))
--- a/src/jobs/catch_up.rs
+++ b/src/jobs/catch_up.rs
@@ -56,10 +56,10 @@
 
     async fn read_to_end(&self) -> bool {
         loop {
-            let (position, copy) = (self.node.book_end(), self.node.copy());
+            let (position, copy) = (self.node.applied_offset(), self.node.replica_epoch());
             match self.log.read(LogTopic::Jobs, position, Duration::ZERO).await {
                 ReadOutcome::Read(batch) => {
-                    if self.node.copy() != copy {
+                    if self.node.replica_epoch() != copy {
                         return false;
                     }
                     let (is_end, is_empty) = (batch.next >= batch.end, batch.records.is_empty());
--- a/src/jobs/conductor.rs
+++ b/src/jobs/conductor.rs
@@ -16,7 +16,7 @@
 use crate::decide::leadership::PreviousLeader;
 use crate::jobs::decision_log;
 use crate::jobs::delegate::StartDelegate;
-use crate::jobs::follower::{TailReader, TailStep, fold_step, shown_ms};
+use crate::jobs::follower::{TailReader, TailStep, fold_step, read_as_of_ms};
 use crate::jobs::lanes::{LaneCommand, WorkerLanes};
 use crate::jobs::leader_load::{LeaderLoad, PendingCommit};
 use crate::jobs::metrics::count;
@@ -204,7 +204,7 @@
             config,
             predecessor,
             confirmed_ms: self.confirmed_ms.load(Ordering::Acquire),
-            jobs_read_ms: raised_ms.max(self.node.jobs_ms()),
+            jobs_read_ms: raised_ms.max(self.node.jobs_read_ms()),
             workers_read_ms,
             now: self.node.now(),
             wall_ms: self.node.clock.wall_ms(),
@@ -229,7 +229,7 @@
     fn install(&self, start: SchedulerStart, workers: Vec<WorkerEntry>) -> SchedulerStats {
         let now = start.now;
         let waves = self.node.waves();
-        let job_table = self.node.book();
+        let job_table = self.node.job_table();
         let mut scheduler = Scheduler::open(start, &job_table);
         scheduler.workers_listed(workers, now);
         for wave in waves.values() {
@@ -284,22 +284,22 @@
         self.node.metrics.append_seconds.observe(started.elapsed().as_secs_f64());
         self.append_timeout().record_outcome(outcome, started.elapsed());
         if matches!(outcome, AppendOutcome::Done { .. }) {
-            self.node.touch();
+            self.node.record_log_answer();
         }
         outcome
     }
 
     /// Reads the job log into the job table up to `end`, which covers all records of earlier leaders.
     async fn read_through(&self, end: u64) {
-        let mut tail = TailReader::at(LogTopic::Jobs, self.node.book_end());
-        while self.node.book_end() < end {
+        let mut tail = TailReader::at(LogTopic::Jobs, self.node.applied_offset());
+        while self.node.applied_offset() < end {
             let step = tail.next(&self.parts.log, Duration::ZERO).await;
             let has_records = match &step {
                 TailStep::Snapshot(records) | TailStep::Records(records) => !records.is_empty(),
                 TailStep::Failed => false,
             };
             fold_step(&self.node, step, tail.position());
-            if !has_records && self.node.book_end() < end {
+            if !has_records && self.node.applied_offset() < end {
                 sleep(RETRY_DELAY).await;
             }
         }
@@ -311,7 +311,7 @@
         let mut tail = TailReader::new(LogTopic::Workers);
         let mut asked_ms = self.node.now();
         loop {
-            if !tail.has_pages() {
+            if !tail.has_partial_snapshot() {
                 asked_ms = self.node.now();
             }
             if let TailStep::Snapshot(records) = tail.next(&self.parts.log, Duration::ZERO).await {
@@ -336,7 +336,7 @@
         let mut asked_ms = self.node.now();
         loop {
             let sent_ms = self.node.now();
-            if !tail.has_pages() {
+            if !tail.has_partial_snapshot() {
                 asked_ms = sent_ms;
             }
             let step = tail.next(&self.parts.log, WORKERS_READ_WAIT).await;
@@ -344,18 +344,18 @@
             match step {
                 TailStep::Snapshot(records) => {
                     let entries = self.decode_workers(&records);
-                    self.node.touch();
+                    self.node.record_log_answer();
                     self.node.with_scheduler(|scheduler| {
                         scheduler.workers_listed(entries, now);
                         scheduler.workers_read(asked_ms);
                     });
                 }
                 TailStep::Records(records) => {
-                    self.node.touch();
+                    self.node.record_log_answer();
                     self.apply_worker_records(&records, now);
                     if tail.is_at_end() {
                         let shown_ms =
-                            shown_ms(records.is_empty(), sent_ms, WORKERS_READ_WAIT, now);
+                            read_as_of_ms(records.is_empty(), sent_ms, WORKERS_READ_WAIT, now);
                         self.node.with_scheduler(|scheduler| scheduler.workers_read(shown_ms));
                     }
                 }
@@ -552,8 +552,8 @@
             match outcome {
                 AppendOutcome::Done { offset, end } => {
                     *self.sequence() = sequence + 1;
-                    if self.node.fold_own(&batch.decoded, offset, end) {
-                        self.node.jobs_shown(sent_ms);
+                    if self.node.fold_appended(&batch.decoded, offset, end) {
+                        self.node.record_jobs_read(sent_ms);
                     }
                     self.committed(batch);
                     return true;
@@ -583,7 +583,7 @@
         *self.pending_commit() = None;
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| scheduler.committed(batch, now));
-        self.node.relayed(&batch.relayed);
+        self.node.complete_relays(&batch.relayed);
         self.node.wake.notify_one();
     }
 }
--- a/src/jobs/confirm.rs
+++ b/src/jobs/confirm.rs
@@ -95,13 +95,13 @@
     // needed.
     let confirmed = answer.age_ms.and_then(|age| asked_ms.checked_sub(age));
     if let Some(confirmed) = confirmed {
-        node.config_shown(confirmed);
+        node.record_config_read(confirmed);
     }
     if node.is_log_silent() {
         if confirmed.is_some_and(|confirmed| {
             node.now() < confirmed + node.settings.bounds.revocation.bound_ms
         }) {
-            node.turned_away();
+            node.record_log_read_by_peer();
         }
         node.set_leader(answer.leader);
     }
@@ -159,11 +159,11 @@
         let answer = answer.filter(|answer| answer.status == StatusCode::OK);
         let answer: Option<ConfirmAnswer> =
             answer.and_then(|answer| postcard::from_bytes(&answer.body).ok());
-        let before = self.node.shown_ms();
+        let before = self.node.config_confirmed_ms();
         if let Some(answer) = answer {
             apply_answer(&self.node, answer, asked_ms);
         }
-        let is_newer = self.node.shown_ms() > before;
+        let is_newer = self.node.config_confirmed_ms() > before;
         if is_old {
             // An entry that has confirmed the configuration is asked again, otherwise the next one.
             self.turn += usize::from(!is_newer);
--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -310,7 +310,7 @@
 /// Text of a task's job, if the book has it and does not show the job as over: the leader may learn later than
 /// this entry that it was cancelled.
 fn payload(node: &JobNode, task: &TaskKey) -> Option<Arc<str>> {
-    let book = node.book();
+    let book = node.job_table();
     let job = book.get(task.job)?;
     let submission = job.submission.as_ref()?;
     let is_over = submission.has_no_spec() || job.state()?.is_final();
@@ -368,7 +368,7 @@
                 self.transport.exchange(leader, post(OFFER_PATH, body), OFFER_PATIENCE).await;
             // The next offer follows anyhow; who leads is found out elsewhere.
             if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
-                self.node.stored();
+                self.node.record_store();
             }
         }
         OFFER_LOOK
--- a/src/jobs/entry.rs
+++ b/src/jobs/entry.rs
@@ -239,14 +239,14 @@
             node: jobs.0.clone(),
             log: jobs.1.clone(),
             tail: TailReader::new(LogTopic::Jobs),
-            copy: jobs.0.copy(),
+            replica_epoch: jobs.0.replica_epoch(),
         }),
         SupervisedLoop::new(move || OperatorFollower {
             node: operator.0.clone(),
             log: operator.1.clone(),
             tail: TailReader::new(LogTopic::Operator),
             decoder,
-            is_in_the_dark: false,
+            has_unreadable_config: false,
         }),
         SupervisedLoop::new(move || LeadershipLoop {
             node: leadership.0.clone(),
--- a/src/jobs/follower.rs
+++ b/src/jobs/follower.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether it is between two pages of a snapshot.
-    pub fn has_pages(&self) -> bool {
+    pub fn has_partial_snapshot(&self) -> bool {
         self.partial.end.is_some()
     }
 
@@ -150,7 +150,7 @@
     /// Where the reading is.
     pub tail: TailReader,
     /// Number of the copy that it reads for.
-    pub copy: u64,
+    pub replica_epoch: u64,
 }
 
 impl<L: JobLog> ControlLoop for JobFollower<L> {
@@ -160,28 +160,33 @@
         if self.node.is_sole_writer() || !self.node.is_replica() {
             return SOLE_PAUSE;
         }
-        let copy = self.node.copy();
-        if self.copy != copy {
-            self.copy = copy;
+        let replica_epoch = self.node.replica_epoch();
+        if self.replica_epoch != replica_epoch {
+            self.replica_epoch = replica_epoch;
             self.tail = TailReader::new(LogTopic::Jobs);
         }
         // What callers made this entry read, and what it has appended itself.
-        self.tail.skip_to(self.node.book_end());
+        self.tail.skip_to(self.node.applied_offset());
         let sent_ms = self.node.now();
         let step = self.tail.next(&self.log, READ_WAIT).await;
         let is_empty = match &step {
             TailStep::Snapshot(records) | TailStep::Records(records) => records.is_empty(),
             TailStep::Failed => return FAILED_PAUSE,
         };
-        self.node.touch();
-        if self.node.copy() != copy {
+        self.node.record_log_answer();
+        if self.node.replica_epoch() != replica_epoch {
             return Duration::ZERO;
         }
         let is_whole = matches!(step, TailStep::Snapshot(_));
         fold_step(&self.node, step, self.tail.position());
         if self.tail.is_at_end() {
             self.node.set_current();
-            self.node.jobs_shown(shown_ms(is_empty, sent_ms, READ_WAIT, self.node.now()));
+            self.node.record_jobs_read(read_as_of_ms(
+                is_empty,
+                sent_ms,
+                READ_WAIT,
+                self.node.now(),
+            ));
         }
         if is_whole {
             self.node.set_loaded();
@@ -192,7 +197,7 @@
 
 /// As of when a read that came to the log's end shows it, in milliseconds: when it was asked for, as its answer may have
 /// been on its way since; one without news was given when the wait was over.
-pub fn shown_ms(is_empty: bool, sent_ms: u64, wait: Duration, now: u64) -> u64 {
+pub fn read_as_of_ms(is_empty: bool, sent_ms: u64, wait: Duration, now: u64) -> u64 {
     let waited_ms = if is_empty { crate::clock::millis(wait) } else { 0 };
     now.min(sent_ms + waited_ms)
 }
@@ -200,7 +205,7 @@
 /// Folds what a step along the job log has brought, up to `position`.
 pub fn fold_step(node: &JobNode, step: TailStep, position: u64) {
     match step {
-        TailStep::Snapshot(records) => node.fold_newest(&decode(node, &records), position),
+        TailStep::Snapshot(records) => node.fold_snapshot(&decode(node, &records), position),
         TailStep::Records(records) => node.fold_read(decode(node, &records), position),
         TailStep::Failed => {}
     }
@@ -231,7 +236,7 @@
     /// Reads a record.
     pub decoder: OperatorDecoder,
     /// Whether the newest configuration could not be read: the one in force may honour keys that it revokes.
-    pub is_in_the_dark: bool,
+    pub has_unreadable_config: bool,
 }
 
 impl<L: JobLog> ControlLoop for OperatorFollower<L> {
@@ -246,7 +251,7 @@
             TailStep::Records(records) => (records, true),
             TailStep::Failed => return FAILED_PAUSE,
         };
-        self.node.touch();
+        self.node.record_log_answer();
         for (offset, record) in &records {
             self.take(*offset, record);
         }
@@ -257,9 +262,9 @@
             // date would keep the one in force from callers for seconds.
             self.tail.skip_to_newest();
         }
-        let is_shown = is_read_on && !is_behind && !self.is_in_the_dark;
+        let is_shown = is_read_on && !is_behind && !self.has_unreadable_config;
         if is_shown {
-            self.node.config_shown(began_ms);
+            self.node.record_config_read(began_ms);
         }
         match (records.is_empty(), is_shown) {
             (true, true) => Duration::ZERO,
@@ -279,14 +284,15 @@
             return READ_WAIT;
         }
         let part = Duration::from_millis(rule.bound_ms / READ_PART);
-        let is_old = self.node.shown_ms().is_none_or(|shown| now > shown + rule.bound_ms / 2);
+        let is_old =
+            self.node.config_confirmed_ms().is_none_or(|shown| now > shown + rule.bound_ms / 2);
         if is_old { Duration::ZERO } else { READ_WAIT.min(part) }
     }
 
     fn take(&mut self, offset: u64, record: &KeyedRecord) {
         match (self.decoder)(record) {
             Some(OperatorRecord::Config(config)) => {
-                self.is_in_the_dark = false;
+                self.has_unreadable_config = false;
                 let (version, queues) = (config.version, config.queues.len());
                 if self.node.set_config(config) {
                     info!(self.node.logger, "configuration in force";
@@ -294,7 +300,7 @@
                 }
             }
             Some(OperatorRecord::UnreadableConfig) => {
-                self.is_in_the_dark = true;
+                self.has_unreadable_config = true;
                 warn!(self.node.logger, "a configuration can't be read: no key is confirmed by it";
                     "offset" => offset, "bytes" => record.value.len());
             }
@@ -302,7 +308,7 @@
                 info!(self.node.logger, "maintenance wave"; "wave" => wave.number,
                     "vms" => wave.vms.len(), "parallel" => wave.parallel_max,
                     "within_ms" => wave.within_ms);
-                self.node.take_wave(wave);
+                self.node.add_wave(wave);
             }
             None if record.value.is_empty() => {}
             None => warn!(self.node.logger, "an operator's record can't be read";
--- a/src/jobs/leadership.rs
+++ b/src/jobs/leadership.rs
@@ -91,7 +91,7 @@
             return self.resume_claim(pending).await;
         }
         let now = self.node.now();
-        let is_closed = self.node.leader_is_closed();
+        let is_closed = self.node.is_leader_closed();
         // A term of this entry whose conductor has ended by itself leaves no leader to wait for.
         let claim_in = match self.view.is_held_by(&self.own) {
             true => Some(0),
@@ -132,7 +132,7 @@
         let now = self.node.now();
         match outcome {
             ReadOutcome::Read(batch) => {
-                self.node.touch();
+                self.node.record_log_answer();
                 for (offset, record) in &batch.records {
                     self.apply_record(*offset, record, now);
                 }
@@ -340,7 +340,7 @@
     }
 
     fn confirm(&mut self, sent_ms: u64) {
-        self.node.touch();
+        self.node.record_log_answer();
         if let Some(conductor) = &self.conductor {
             conductor.confirm(sent_ms);
         }
--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -60,23 +60,23 @@
     /// Whether this entry is to keep a copy of the job log.
     is_replica: AtomicBool,
     /// Number of the present copy; a reading for an earlier one is void.
-    copy: AtomicU64,
+    replica_epoch: AtomicU64,
     append_ms: AtomicU64,
     leader_ms: AtomicU64,
     config: ArcSwapOption<SiteConfig>,
     /// When the newest reading began that showed the configuration in force to be the newest, plus one; 0 for
     /// none.
-    shown_ms: AtomicU64,
+    config_confirmed_ms: AtomicU64,
     /// Other entries that can be asked how old their reading is.
     peers: ArcSwap<Vec<SocketAddr>>,
-    turned_away_ms: AtomicU64,
-    book: Mutex<JobTable>,
-    book_end: AtomicU64,
+    peer_read_log_ms: AtomicU64,
+    job_table: Mutex<JobTable>,
+    applied_offset: AtomicU64,
     /// Appends of our own beyond the book's end, by their offset, and their ends.
     own_ranges: Mutex<BTreeMap<u64, u64>>,
     own_ms: AtomicU64,
     /// When the job log held no more than the book has, in milliseconds.
-    jobs_ms: AtomicU64,
+    jobs_read_ms: AtomicU64,
     is_loaded: AtomicBool,
     waves: Mutex<BTreeMap<u64, MaintenanceWave>>,
     scheduler: Mutex<Option<Scheduler>>,
@@ -84,7 +84,7 @@
     closed_ms: AtomicU64,
     relayed: Mutex<HashMap<u64, oneshot::Sender<()>>>,
     next_token: AtomicU64,
-    contact_ms: AtomicU64,
+    log_answer_ms: AtomicU64,
     stored_ms: AtomicU64,
     current_ms: AtomicU64,
     is_stopping: AtomicBool,
@@ -104,18 +104,18 @@
             planner: Mutex::default(),
             replicas: ArcSwap::default(),
             is_replica: AtomicBool::new(true),
-            copy: AtomicU64::new(0),
+            replica_epoch: AtomicU64::new(0),
             append_ms: AtomicU64::new(0),
             leader_ms: AtomicU64::new(0),
             config: ArcSwapOption::empty(),
-            shown_ms: AtomicU64::new(0),
+            config_confirmed_ms: AtomicU64::new(0),
             peers: ArcSwap::default(),
-            turned_away_ms: AtomicU64::new(0),
-            book: Mutex::new(JobTable::default()),
-            book_end: AtomicU64::new(0),
+            peer_read_log_ms: AtomicU64::new(0),
+            job_table: Mutex::new(JobTable::default()),
+            applied_offset: AtomicU64::new(0),
             own_ranges: Mutex::default(),
             own_ms: AtomicU64::new(0),
-            jobs_ms: AtomicU64::new(0),
+            jobs_read_ms: AtomicU64::new(0),
             is_loaded: AtomicBool::new(false),
             waves: Mutex::new(BTreeMap::new()),
             scheduler: Mutex::new(None),
@@ -123,7 +123,7 @@
             closed_ms: AtomicU64::new(0),
             relayed: Mutex::new(HashMap::new()),
             next_token: AtomicU64::new(0),
-            contact_ms: AtomicU64::new(0),
+            log_answer_ms: AtomicU64::new(0),
             stored_ms: AtomicU64::new(0),
             current_ms: AtomicU64::new(0),
             is_stopping: AtomicBool::new(false),
@@ -154,18 +154,18 @@
 
     /// A reading that began at `began_ms` has come to the end of what operators wrote, and all of it is in
     /// force here.
-    pub fn config_shown(&self, began_ms: u64) {
-        self.shown_ms.fetch_max(began_ms + 1, Ordering::AcqRel);
+    pub fn record_config_read(&self, began_ms: u64) {
+        self.config_confirmed_ms.fetch_max(began_ms + 1, Ordering::AcqRel);
     }
 
     /// When the newest such reading began, in milliseconds.
-    pub fn shown_ms(&self) -> Option<u64> {
-        self.shown_ms.load(Ordering::Acquire).checked_sub(1)
+    pub fn config_confirmed_ms(&self) -> Option<u64> {
+        self.config_confirmed_ms.load(Ordering::Acquire).checked_sub(1)
     }
 
     /// Age of the newest such reading, in milliseconds.
     pub fn config_age_ms(&self) -> Option<u64> {
-        let shown = self.shown_ms()?;
+        let shown = self.config_confirmed_ms()?;
         Some(self.now().saturating_sub(shown))
     }
 
@@ -174,7 +174,7 @@
     /// The reading is looked at first: what it has shown was in force before it counted, so the configuration
     /// that is loaded after it is as new or newer.
     pub fn honoured_config(&self) -> Option<Arc<SiteConfig>> {
-        let shown = self.shown_ms();
+        let shown = self.config_confirmed_ms();
         let rule = &self.settings.bounds.revocation;
         if !rule.may_honour(shown, self.now()) {
             return None;
@@ -237,7 +237,7 @@
             self.replicas.store(Arc::new(replicas.clone()));
         }
         if self.is_replica.swap(is_replica, Ordering::AcqRel) && !is_replica {
-            self.drop_copy();
+            self.drop_replica();
         }
     }
 
@@ -269,21 +269,21 @@
     }
 
     /// Time that appends would stand in line if each entry made one of its own, in milliseconds.
-    pub fn own_line_ms(&self) -> u64 {
+    pub fn own_queue_delay_ms(&self) -> u64 {
         u64::from(self.replicas.load().entries) * self.append_ms.load(Ordering::Relaxed)
     }
 
     /// Number of the present copy of the job log.
-    pub fn copy(&self) -> u64 {
-        self.copy.load(Ordering::Acquire)
+    pub fn replica_epoch(&self) -> u64 {
+        self.replica_epoch.load(Ordering::Acquire)
     }
 
     /// Forgets the copy of the job log. What is being read for it is not folded any more.
-    fn drop_copy(&self) {
-        let mut book = self.book();
-        self.copy.fetch_add(1, Ordering::AcqRel);
+    fn drop_replica(&self) {
+        let mut book = self.job_table();
+        self.replica_epoch.fetch_add(1, Ordering::AcqRel);
         self.is_loaded.store(false, Ordering::Release);
-        self.book_end.store(0, Ordering::Release);
+        self.applied_offset.store(0, Ordering::Release);
         self.current_ms.store(0, Ordering::Release);
         self.own_ms.store(0, Ordering::Release);
         self.own_ranges().clear();
@@ -291,26 +291,26 @@
     }
 
     /// The job book.
-    pub fn book(&self) -> MutexGuard<'_, JobTable> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn job_table(&self) -> MutexGuard<'_, JobTable> {
+        self.job_table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Folds the newest record of each key, as they were when the log ended at `end` or later.
     ///
     /// What this entry had stored through the leader meanwhile, at an offset that it does not know, is among them
     /// or is read on from `end`.
-    pub fn fold_newest(&self, records: &[(u64, JobRecord)], end: u64) {
-        let mut book = self.book();
+    pub fn fold_snapshot(&self, records: &[(u64, JobRecord)], end: u64) {
+        let mut book = self.job_table();
         // Another reader has come further: a job that it saw being dropped must not come back.
-        if self.book_end() >= end {
+        if self.applied_offset() >= end {
             return;
         }
         let new = book.apply_snapshot(records, end);
         book.note_finished(&new, self.now());
         self.reach(end);
-        book.forget_drops(self.book_end());
+        book.forget_drops(self.applied_offset());
         // Before anybody else finds the book as far: by that the view of the jobs counts as new.
-        self.tell_scheduler(&new);
+        self.apply_to_scheduler(&new);
     }
 
     /// Folds what was read from an offset that the book had reached up to `next`.
@@ -319,8 +319,8 @@
     /// seen less. What the book has already is passed over; folded again, an old record would undo a
     /// newer one, such as the dropping of a job, which would then run once more.
     pub fn fold_read(&self, records: Vec<(u64, JobRecord)>, next: u64) {
-        let mut book = self.book();
-        let end = self.book_end();
+        let mut book = self.job_table();
+        let end = self.applied_offset();
         let new: Vec<(u64, JobRecord)> =
             records.into_iter().filter(|(offset, _)| *offset >= end).collect();
         for (offset, record) in &new {
@@ -328,9 +328,9 @@
         }
         book.note_finished(&new, self.now());
         self.reach(next);
-        book.forget_drops(self.book_end());
+        book.forget_drops(self.applied_offset());
         // Before anybody else finds the book as far: by that the view of the jobs counts as new.
-        self.tell_scheduler(&new);
+        self.apply_to_scheduler(&new);
     }
 
     /// Folds what this entry has appended at `offset`; the scheduler knows it.
@@ -340,16 +340,16 @@
     /// link of 2 Mbit/s on it.
     ///
     /// Returns whether the book has all that the log held before them.
-    pub fn fold_own(&self, records: &[JobRecord], offset: u64, end: u64) -> bool {
-        let mut book = self.book();
+    pub fn fold_appended(&self, records: &[JobRecord], offset: u64, end: u64) -> bool {
+        let mut book = self.job_table();
         let own: Vec<(u64, JobRecord)> = (offset..).zip(records.iter().cloned()).collect();
         for (offset, record) in &own {
             book.fold(record, *offset);
         }
         book.note_finished(&own, self.now());
         self.own_ranges().insert(offset, end);
-        let is_whole = self.reach(offset.min(self.book_end()));
-        book.forget_drops(self.book_end());
+        let is_whole = self.reach(offset.min(self.applied_offset()));
+        book.forget_drops(self.applied_offset());
         let own_ms = if is_whole { self.now().max(1) } else { 0 };
         self.own_ms.store(own_ms, Ordering::Release);
         if is_whole {
@@ -359,25 +359,25 @@
     }
 
     /// The book has all that the job log held at `shown_ms`, and the scheduler has been told of it.
-    pub fn jobs_shown(&self, shown_ms: u64) {
-        self.jobs_ms.fetch_max(shown_ms, Ordering::AcqRel);
+    pub fn record_jobs_read(&self, shown_ms: u64) {
+        self.jobs_read_ms.fetch_max(shown_ms, Ordering::AcqRel);
         self.with_scheduler(|scheduler| scheduler.jobs_read(shown_ms));
     }
 
     /// When the job log last held no more than the book has, in milliseconds.
-    pub fn jobs_ms(&self) -> u64 {
-        self.jobs_ms.load(Ordering::Acquire)
+    pub fn jobs_read_ms(&self) -> u64 {
+        self.jobs_read_ms.load(Ordering::Acquire)
     }
 
     /// The book has all before `end`, and what this entry has appended from there on; returns whether that
     /// leaves nothing of our own beyond it.
     fn reach(&self, end: u64) -> bool {
         let mut ranges = self.own_ranges();
-        let mut reached = self.book_end.fetch_max(end, Ordering::AcqRel).max(end);
+        let mut reached = self.applied_offset.fetch_max(end, Ordering::AcqRel).max(end);
         while let Some(range) = ranges.first_entry().filter(|range| *range.key() <= reached) {
             reached = reached.max(range.remove());
         }
-        self.book_end.fetch_max(reached, Ordering::AcqRel);
+        self.applied_offset.fetch_max(reached, Ordering::AcqRel);
         ranges.is_empty()
     }
 
@@ -396,16 +396,16 @@
     /// tell what becomes of them.
     pub fn fold(&self, records: &[(u64, JobRecord)]) {
         if self.is_replica() {
-            let mut book = self.book();
+            let mut book = self.job_table();
             for (offset, record) in records {
                 book.fold(record, *offset);
             }
             book.note_finished(records, self.now());
         }
-        self.tell_scheduler(records);
+        self.apply_to_scheduler(records);
     }
 
-    fn tell_scheduler(&self, records: &[(u64, JobRecord)]) {
+    fn apply_to_scheduler(&self, records: &[(u64, JobRecord)]) {
         let now = self.now();
         self.with_scheduler(|scheduler| {
             for (_, record) in records {
@@ -427,13 +427,13 @@
     }
 
     /// Offset up to which the book tells everything.
-    pub fn book_end(&self) -> u64 {
-        self.book_end.load(Ordering::Acquire)
+    pub fn applied_offset(&self) -> u64 {
+        self.applied_offset.load(Ordering::Acquire)
     }
 
     /// Takes a wave.
-    pub fn take_wave(&self, wave: MaintenanceWave) {
-        let done = self.book().maintained(wave.number);
+    pub fn add_wave(&self, wave: MaintenanceWave) {
+        let done = self.job_table().maintained(wave.number);
         let now = self.now();
         self.waves().insert(wave.number, wave.clone());
         self.with_scheduler(|scheduler| scheduler.add_wave(wave, done, now));
@@ -456,12 +456,12 @@
     }
 
     /// The leader's address was found closed.
-    pub fn leader_closed(&self) {
+    pub fn record_leader_closed(&self) {
         self.closed_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
     /// Whether the leader's address was found closed lately.
-    pub fn leader_is_closed(&self) -> bool {
+    pub fn is_leader_closed(&self) -> bool {
         let closed = self.closed_ms.load(Ordering::Relaxed);
         closed > 0 && self.now() < closed + CLOSED_AGE_MAX_MS
     }
@@ -496,7 +496,7 @@
     }
 
     /// Tells those that relayed these batches that the log has them.
-    pub fn relayed(&self, tokens: &[u64]) {
+    pub fn complete_relays(&self, tokens: &[u64]) {
         let mut waiters = self.waiters();
         for sender in tokens.iter().filter_map(|token| waiters.remove(token)) {
             // One that went away meanwhile needs no answer.
@@ -517,13 +517,13 @@
     }
 
     /// The log has answered.
-    pub fn touch(&self) {
-        self.contact_ms.store(self.now().max(1), Ordering::Release);
+    pub fn record_log_answer(&self) {
+        self.log_answer_ms.store(self.now().max(1), Ordering::Release);
     }
 
     /// Time since the log last answered, in milliseconds; nothing if it never did.
     pub fn log_age_ms(&self) -> Option<u64> {
-        match self.contact_ms.load(Ordering::Acquire) {
+        match self.log_answer_ms.load(Ordering::Acquire) {
             0 => None,
             contact => Some(self.now().saturating_sub(contact)),
         }
@@ -547,32 +547,32 @@
     }
 
     /// A record of a caller has reached the log, by whatever way, or the leader has shown that it would store one.
-    pub fn stored(&self) {
+    pub fn record_store(&self) {
         self.stored_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
     /// Whether nothing reaches the log from here: it does not answer, nor does the leader store for
     /// us. A caller is then refused at once, while it still has time to try another entry; waiting
     /// would only show the same a second later.
-    pub fn is_log_away(&self) -> bool {
+    pub fn is_log_unreachable(&self) -> bool {
         let stored = self.stored_ms.load(Ordering::Relaxed);
-        let last = stored.max(self.contact_ms.load(Ordering::Acquire));
+        let last = stored.max(self.log_answer_ms.load(Ordering::Acquire));
         self.now() > last + AWAY_AGE_MS
     }
 
     /// Whether this entry's own calls to the log go unanswered.
     pub fn is_log_silent(&self) -> bool {
-        self.now() > self.contact_ms.load(Ordering::Acquire) + AWAY_AGE_MS
+        self.now() > self.log_answer_ms.load(Ordering::Acquire) + AWAY_AGE_MS
     }
 
     /// Another entry reads the log, and this one can't.
-    pub fn turned_away(&self) {
-        self.turned_away_ms.store(self.now().max(1), Ordering::Relaxed);
+    pub fn record_log_read_by_peer(&self) {
+        self.peer_read_log_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
     /// Whether the log is silent here, and others were found a moment ago to read it.
-    pub fn is_turned_away(&self) -> bool {
-        let told = self.turned_away_ms.load(Ordering::Relaxed);
+    pub fn is_cut_off_from_log(&self) -> bool {
+        let told = self.peer_read_log_ms.load(Ordering::Relaxed);
         told > 0 && self.now() < told + TURNED_AWAY_AGE_MS && self.is_log_silent()
     }
 
@@ -594,7 +594,7 @@
     }
 
     /// Brings the gauges up to date.
-    pub fn measure(&self) {
+    pub fn update_gauges(&self) {
         let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         let size = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         let metrics = &self.metrics;
--- a/src/jobs/query.rs
+++ b/src/jobs/query.rs
@@ -76,7 +76,7 @@
     }
     match query {
         JobQuery::Waiting(queue) if node.is_current() => {
-            Ok(JobAnswer::Waiting(node.book().waiting_jobs(&queue)))
+            Ok(JobAnswer::Waiting(node.job_table().waiting_jobs(&queue)))
         }
         JobQuery::Waiting(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
         JobQuery::Job(job) => match KnownJob::find(node, job) {
--- a/src/jobs/relay.rs
+++ b/src/jobs/relay.rs
@@ -94,7 +94,7 @@
 impl KnownJob {
     /// A job by this entry's own book.
     pub fn find(node: &JobNode, id: JobId) -> Option<KnownJob> {
-        let book = node.book();
+        let book = node.job_table();
         let job = book.get(id)?;
         let organisation = job.submission.as_ref()?.organisation.clone();
         Some(KnownJob { state: job.state()?, organisation })
@@ -200,7 +200,7 @@
             Ok(answer) if answer.status == StatusCode::OK => RelayOutcome::Stored,
             Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => RelayOutcome::NotSent,
             Err(ExchangeFailure::NotSent) => {
-                node.leader_closed();
+                node.record_leader_closed();
                 RelayOutcome::NotSent
             }
             Ok(_) | Err(ExchangeFailure::NoAnswer) => RelayOutcome::Unknown,
@@ -337,7 +337,7 @@
             Err(code) => bare(code),
         },
         METRICS_PATH => {
-            node.measure();
+            node.update_gauges();
             whole("text/plain; version=1.0.0", node.metrics.text().into_bytes())
         }
         STATUS_PATH => json(&status::entry_status(node)),
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -86,7 +86,7 @@
 pub fn entry_status(node: &JobNode) -> EntryStatus {
     let config = node.config();
     let now = node.now();
-    let waiting = |name: &str| node.book().waiting_jobs(name);
+    let waiting = |name: &str| node.job_table().waiting_jobs(name);
     let queues = config.iter().flat_map(|config| &config.queues).map(|queue| QueueStatus {
         name: queue.name.clone(),
         pool: queue.service.clone(),
@@ -107,7 +107,7 @@
 
 /// Status of a job; `None` if this entry does not know it.
 pub fn job_status(node: &JobNode, id: JobId) -> Option<JobStatus> {
-    let table = node.book();
+    let table = node.job_table();
     let job = table.get(id)?;
     let submission = job.submission.as_ref()?;
     let progress = job.progress.as_ref();
--- a/src/jobs/submitter.rs
+++ b/src/jobs/submitter.rs
@@ -142,7 +142,9 @@
                 // rejection by the log does not mean that the batch was not stored.
                 RelayOutcome::Unknown => is_in_doubt = true,
             }
-            if self.node.own_line_ms() <= OWN_QUEUE_DELAY_MAX_MS || !self.node.is_leader_silent() {
+            if self.node.own_queue_delay_ms() <= OWN_QUEUE_DELAY_MAX_MS
+                || !self.node.is_leader_silent()
+            {
                 return self.append(batch, is_in_doubt).await;
             }
             if !self.relay.wait_for_leader(&self.node, LEADER_WAIT).await {
@@ -151,7 +153,7 @@
         }
         info!(self.node.logger,
             "batch not stored: no leader, and the log is too slow for appends of all entries";
-            "records" => batch.len(), "line_ms" => self.node.own_line_ms());
+            "records" => batch.len(), "line_ms" => self.node.own_queue_delay_ms());
         let outcome = if is_in_doubt { SubmitOutcome::Unknown } else { SubmitOutcome::Refused };
         answer_all(batch, outcome);
         self.reject_waiting();
@@ -177,7 +179,7 @@
             match outcome {
                 AppendOutcome::Done { offset, .. } => {
                     self.sequence += 1;
-                    self.node.touch();
+                    self.node.record_log_answer();
                     self.complete(batch, Some(offset));
                     return;
                 }
@@ -227,7 +229,7 @@
     /// Adds the entry's own submissions to its table before they are read back. Records that
     /// another entry appended get offset 0, so that everything that is read counts as newer.
     fn complete(&self, batch: Vec<SubmitRequest>, offset: Option<u64>) {
-        self.node.stored();
+        self.node.record_store();
         let records: Vec<(u64, JobRecord)> = (0..)
             .zip(&batch)
             .map(|(position, request)| {
--- a/tests/access.rs
+++ b/tests/access.rs
@@ -142,7 +142,7 @@
             log: log.clone(),
             tail: TailReader::new(LogTopic::Operator),
             decoder: decode,
-            is_in_the_dark: false,
+            has_unreadable_config: false,
         };
         Entry { service: CallerService { node, reader, submitter, relay, queries }, follower, log }
     }
@@ -321,7 +321,7 @@
     advance(Duration::from_millis(200)).await;
     let answer = ConfirmAnswer { age_ms: Some(300), ..ConfirmAnswer::default() };
     confirm::apply_answer(entry.node(), answer, asked_ms);
-    assert_eq!(entry.node().shown_ms(), Some(asked_ms - 300));
+    assert_eq!(entry.node().config_confirmed_ms(), Some(asked_ms - 300));
     assert_eq!(entry.code(key("key")), None);
     advance(CONFIRMATION_LIMIT - Duration::from_millis(500)).await;
     assert_eq!(entry.code(key("key")), Some(ResultCode::KeyUnconfirmed));
@@ -353,7 +353,7 @@
     let east = entry.admit(key("taken")).expect("admitted");
     let west = entry.admit(key("spare")).expect("admitted");
     let spec = || job(vec![step(1)]);
-    entry.node().touch();
+    entry.node().record_log_answer();
     let (id, unknown) = (job_id(1), CallerReply::Refused(ResultCode::UnknownJob, None));
     assert_eq!(service.submit(&queue, &east, id, spec(), TIME_LEFT).await, CallerReply::Stored);
     assert_eq!(service.job_state(&west, id).await, unknown);
--- a/tests/behind_log.rs
+++ b/tests/behind_log.rs
@@ -52,11 +52,11 @@
 }
 
 fn state(node: &JobNode, id: u64) -> Option<JobState> {
-    node.book().get(job_id(id)).and_then(|job| job.state())
+    node.job_table().get(job_id(id)).and_then(|job| job.state())
 }
 
 fn waiting(node: &JobNode) -> u64 {
-    node.book().waiting_jobs(QUEUE)
+    node.job_table().waiting_jobs(QUEUE)
 }
 
 /// Jobs that a leader which takes over from this entry's book would run.
@@ -72,7 +72,7 @@
         now: 100_000,
         wall_ms: node.clock.wall_ms(),
     };
-    Scheduler::open(start, &node.book()).stats().jobs
+    Scheduler::open(start, &node.job_table()).stats().jobs
 }
 
 fn dropped(id: u64) -> JobRecord {
@@ -91,7 +91,7 @@
     renew(&node, &[(1, submitted(2))]);
     assert_eq!((state(&node, 1), state(&node, 2)), (None, Some(JobState::Queued)));
     assert_eq!((waiting(&node), open_jobs(&node)), (1, 1));
-    assert_eq!(node.book_end(), END);
+    assert_eq!(node.applied_offset(), END);
 }
 
 /// Guards against a new job that is taken for the one of the same id that was dropped meanwhile.
@@ -120,7 +120,7 @@
     renew(&node, &newest);
     assert_eq!(state(&node, 1), Some(JobState::Cancelled));
     assert_eq!(state(&node, 2), Some(JobState::Completed));
-    assert_eq!(node.book().maintained(1).len(), 2);
+    assert_eq!(node.job_table().maintained(1).len(), 2);
 }
 
 /// Guards against a job that its entry forgets, as it was stored after the page that it would stand on was made.
@@ -153,10 +153,10 @@
 fn what_a_leader_writes_between_two_pages_stays() {
     let node = behind(vec![submitted(1), submitted(2)]);
     lead(&node);
-    node.fold_own(&[completed(1), submitted(3)], 305, 307);
+    node.fold_appended(&[completed(1), submitted(3)], 305, 307);
     // Once more as the caller's entry, that knows no offset.
     let unseen = JobRecord::CancelledBy(job_id(4), OrganisationDigest::of(None));
-    node.fold_own(std::slice::from_ref(&unseen), 307, 308);
+    node.fold_appended(std::slice::from_ref(&unseen), 307, 308);
     node.fold(&[(0, submitted(3)), (0, unseen)]);
     renew(&node, &[(0, submitted(1)), (1, submitted(2))]);
     assert_eq!(state(&node, 1), Some(JobState::Completed));
@@ -164,7 +164,7 @@
     assert_eq!(state(&node, 3), Some(JobState::Queued));
     // What others wrote before it is read, and then it need not be.
     read_on(&node, Vec::new(), 305);
-    assert_eq!(node.book_end(), 308);
+    assert_eq!(node.applied_offset(), 308);
     read_on(&node, vec![(308, submitted(4))], 309);
     assert_eq!(state(&node, 4), Some(JobState::Cancelled));
 }
@@ -183,12 +183,12 @@
 fn a_job_that_this_entry_drops_between_two_pages_stays_gone() {
     let node = behind(vec![submitted(1)]);
     lead(&node);
-    node.fold_own(&[dropped(1)], 302, 305);
+    node.fold_appended(&[dropped(1)], 302, 305);
     renew(&node, &[(0, submitted(1))]);
     assert_eq!((state(&node, 1), waiting(&node)), (None, 0));
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(0));
     read_on(&node, Vec::new(), 302);
-    assert_eq!(node.book_end(), 305);
+    assert_eq!(node.applied_offset(), 305);
     // The same id later is another job.
     read_on(&node, vec![(305, submitted(1))], 306);
     assert_eq!(state(&node, 1), Some(JobState::Queued));
@@ -202,7 +202,7 @@
     read_on(&node, vec![(350, dropped(1)), (351, submitted(2))], 400);
     renew(&node, &[(0, submitted(1))]);
     assert_eq!((state(&node, 1), state(&node, 2)), (None, Some(JobState::Queued)));
-    assert_eq!((node.book_end(), waiting(&node)), (400, 1));
+    assert_eq!((node.applied_offset(), waiting(&node)), (400, 1));
 }
 
 /// Guards against a job that is counted or told to the leader twice, as a late page has it and it is read on.
@@ -214,6 +214,6 @@
     read_on(&node, vec![(301, submitted(3)), (302, submitted(1))], 303);
     assert_eq!(waiting(&node), 3);
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(3));
-    let known = |id: JobId| node.book().get(id).is_some();
+    let known = |id: JobId| node.job_table().get(id).is_some();
     assert!([1, 2, 3].into_iter().all(|id| known(job_id(id))));
 }
--- a/tests/caller_service.rs
+++ b/tests/caller_service.rs
@@ -50,7 +50,7 @@
 fn service() -> CallerService<WorkingLog> {
     let logger = ibisweir::logging::silent();
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), logger));
-    node.touch();
+    node.record_log_answer();
     let relay = RelayClient::new(HttpTransport::open());
     let queries = QueryClient::new(HttpTransport::open());
     let submitter = submitter::spawn(node.clone(), WorkingLog, relay.clone(), 1);
@@ -79,7 +79,7 @@
     // counts as unavailable.
     let is_behind = |reply| matches!(reply, CallerReply::Refused(ResultCode::BehindLog, Some(_)));
     let is_refused = (0..100).any(|_| {
-        service.node.touch();
+        service.node.record_log_answer();
         let reply = service.own_waiting_jobs(&queue);
         assert!(!matches!(reply, CallerReply::Waiting(_)), "{reply:?}");
         is_behind(reply)
@@ -113,9 +113,9 @@
 async fn a_job_that_the_leader_does_not_know_may_exist() {
     let node = Arc::new(JobNode::new(site_settings(), Arc::default(), silent()));
     node.set_leader(Some(leader_without_the_job().await));
-    while !node.is_turned_away() {
+    while !node.is_cut_off_from_log() {
         sleep(Duration::from_millis(1)).await;
-        node.turned_away();
+        node.record_log_read_by_peer();
     }
     let relay = RelayClient::new(HttpTransport::open());
     let queries = QueryClient::new(HttpTransport::open());
--- a/tests/catch_up.rs
+++ b/tests/catch_up.rs
@@ -154,7 +154,7 @@
 }
 
 fn is_known(node: &JobNode, id: JobId) -> bool {
-    node.book().get(id).is_some()
+    node.job_table().get(id).is_some()
 }
 
 /// Guards against a job that runs again after it was dropped. Two reads begin at the same offset;
@@ -169,7 +169,7 @@
     fold_step(&node, TailStep::Records(whole), 2);
     fold_step(&node, TailStep::Records(part), 1);
     assert!(!is_known(&node, job_id(7)));
-    assert_eq!(node.book_end(), 2);
+    assert_eq!(node.applied_offset(), 2);
 }
 
 /// Guards against maintaining VMs twice: records of a wave are read out of order, the older one
@@ -182,5 +182,5 @@
         JobRecord::Wave(1, Arc::new(names))
     };
     node.fold(&[(5, done(&["a", "b", "c"])), (3, done(&["a"]))]);
-    assert_eq!(node.book().maintained(1).len(), 3);
+    assert_eq!(node.job_table().maintained(1).len(), 3);
 }
--- a/tests/delegate.rs
+++ b/tests/delegate.rs
@@ -300,16 +300,16 @@
         listener,
         peer_service(leader.clone(), RecordingWorkers::default()),
     ));
-    while !entry.is_log_away() {
+    while !entry.is_log_unreachable() {
         sleep(Duration::from_millis(20)).await;
     }
     let transport = HttpTransport::open();
     let mut offers = OfferLoop { node: entry.clone(), transport, offered_ms: None };
     offers.step().await;
-    assert!(entry.is_log_away(), "the leader has no answer of the log either");
+    assert!(entry.is_log_unreachable(), "the leader has no answer of the log either");
     let is_served = async {
-        while entry.is_log_away() {
-            leader.touch();
+        while entry.is_log_unreachable() {
+            leader.record_log_answer();
             sleep(offers.step().await).await;
         }
     };
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -143,7 +143,7 @@
         log: log.clone(),
         tail: TailReader::at(LogTopic::Operator, 1),
         decoder: versioned,
-        is_in_the_dark: false,
+        has_unreadable_config: false,
     };
     while node.config().is_none_or(|config| config.version < VERSIONS - 1) {
         follower.step().await;
--- a/tests/job_table_model.rs
+++ b/tests/job_table_model.rs
@@ -72,7 +72,7 @@
             StoreMethod::Relayed => self.node.fold(&[(0, folded.clone())]),
             StoreMethod::Leader => {
                 let end = self.records.len() as u64;
-                self.node.fold_own(std::slice::from_ref(folded), offset, end);
+                self.node.fold_appended(std::slice::from_ref(folded), offset, end);
                 // The entry that the caller used may be the leader itself.
                 if !matches!(folded, JobRecord::Dropped(_) | JobRecord::Progress(..)) {
                     self.node.fold(&[(0, folded.clone())]);
@@ -199,7 +199,7 @@
         CatchUpReader::new(node.clone(), log.clone()).catch_up().await;
         return;
     };
-    tail.skip_to(node.book_end());
+    tail.skip_to(node.applied_offset());
     let step = tail.next(log, Duration::ZERO).await;
     fold_step(node, step, tail.position());
 }
@@ -232,14 +232,14 @@
             read(&log, &mut tails, &node).await;
         }
         let site = log.site();
-        assert_eq!(node.book_end(), site.records.len() as u64, "seed {seed}: not read");
+        assert_eq!(node.applied_offset(), site.records.len() as u64, "seed {seed}: not read");
         for id in (0..JOBS).map(job_id) {
             let expected = site.expected.get(id).and_then(|job| job.state());
-            let known = node.book().get(id).and_then(|job| job.state());
+            let known = node.job_table().get(id).and_then(|job| job.state());
             assert_eq!(known, expected, "seed {seed}: {id}");
         }
         assert_eq!(
-            node.book().waiting_jobs(QUEUE),
+            node.job_table().waiting_jobs(QUEUE),
             site.expected.waiting_jobs(QUEUE),
             "seed {seed}"
         );
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -29,7 +29,7 @@
 fn the_job_view_is_not_fresh_before_the_scheduler_has_applied_it() {
     let node = idle_node();
     lead(&node);
-    node.fold_own(&[], 0, 0);
+    node.fold_appended(&[], 0, 0);
     let reader = node.clone();
     let committer = node.clone();
     let (sender, is_whole) = mpsc::channel();
@@ -38,7 +38,7 @@
             reader.fold_read(vec![(0, JobRecord::Cancelled(job_id(1)))], 1);
         });
         thread::sleep(TURN);
-        thread::spawn(move || sender.send(committer.fold_own(&[], 1, 1)));
+        thread::spawn(move || sender.send(committer.fold_appended(&[], 1, 1)));
         let outcome = is_whole.recv_timeout(TURN);
         assert_ne!(outcome, Ok(true), "the scheduler has not applied the cancellation");
     });
@@ -222,7 +222,7 @@
         now: late,
         wall_ms: WALL_OFFSET_MS + late,
     };
-    let scheduler = Scheduler::open(start, &node.book());
+    let scheduler = Scheduler::open(start, &node.job_table());
     node.set_scheduler(Some(scheduler));
 }
 
--- a/tests/own_appends.rs
+++ b/tests/own_appends.rs
@@ -25,12 +25,12 @@
 fn the_book_follows_our_own_appends() {
     let node = leader();
     for offset in 0..5 {
-        node.fold_own(&[record(offset)], offset, offset + 1);
+        node.fold_appended(&[record(offset)], offset, offset + 1);
     }
-    assert_eq!(node.book_end(), 5);
+    assert_eq!(node.applied_offset(), 5);
     // A busy machine can make an append old between two lines.
     let is_sole = (5..100).any(|offset| {
-        node.fold_own(&[record(offset)], offset, offset + 1);
+        node.fold_appended(&[record(offset)], offset, offset + 1);
         node.is_sole_writer()
     });
     assert!(is_sole);
@@ -41,15 +41,15 @@
 #[test]
 fn records_of_others_between_are_read_and_our_own_are_not() {
     let node = leader();
-    node.fold_own(&[record(1)], 0, 1);
-    node.fold_own(&[record(3), record(4)], 2, 4);
-    node.fold_own(&[record(5)], 4, 5);
-    assert_eq!(node.book_end(), 1, "the record at offset 1 is not known");
+    node.fold_appended(&[record(1)], 0, 1);
+    node.fold_appended(&[record(3), record(4)], 2, 4);
+    node.fold_appended(&[record(5)], 4, 5);
+    assert_eq!(node.applied_offset(), 1, "the record at offset 1 is not known");
     assert!(!node.is_sole_writer());
     node.fold_read(vec![(1, record(2))], 2);
-    assert_eq!(node.book_end(), 5);
+    assert_eq!(node.applied_offset(), 5);
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(1));
-    assert!(node.book().get(job_id(2)).is_some());
+    assert!(node.job_table().get(job_id(2)).is_some());
 }
 
 /// Guards against a job that its leader forgets: the drop of an earlier one of the same id is read again, with a record
@@ -58,9 +58,9 @@
 fn a_drop_that_is_read_again_takes_nothing_newer() {
     let node = leader();
     let dropped = JobRecord::Dropped(job_id(1));
-    node.fold_own(std::slice::from_ref(&dropped), 1, 4);
-    node.fold_own(&[record(1)], 4, 5);
+    node.fold_appended(std::slice::from_ref(&dropped), 1, 4);
+    node.fold_appended(&[record(1)], 4, 5);
     node.fold_read(vec![(0, record(2)), (3, dropped)], 4);
-    assert_eq!(node.book_end(), 5);
-    assert!(node.book().get(job_id(1)).is_some());
+    assert_eq!(node.applied_offset(), 5);
+    assert!(node.job_table().get(job_id(1)).is_some());
 }
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -176,11 +176,11 @@
 async fn a_log_that_is_known_to_be_away_is_not_waited_for() {
     let settings = settings::parse(SETTINGS).expect("good settings");
     let node = JobNode::new(settings, Default::default(), ibisweir::logging::silent());
-    node.touch();
-    assert!(!node.is_log_away());
+    node.record_log_answer();
+    assert!(!node.is_log_unreachable());
     tokio::time::advance(Duration::from_millis(1_300)).await;
-    assert!(node.is_log_away());
+    assert!(node.is_log_unreachable());
     // The leader still reaches the log and stores for us.
-    node.stored();
-    assert!(!node.is_log_away());
+    node.record_store();
+    assert!(!node.is_log_unreachable());
 }
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -246,8 +246,8 @@
     for number in 0..entries {
         let node = node_with(SiteSettings { peer: address(number), ..site_settings() });
         node.set_replicas(&list, list.contains(address(number)));
-        let (tail, copy) = (TailReader::new(LogTopic::Jobs), node.copy());
-        let mut follower = JobFollower { node, log: log.clone(), tail, copy };
+        let (tail, replica_epoch) = (TailReader::new(LogTopic::Jobs), node.replica_epoch());
+        let mut follower = JobFollower { node, log: log.clone(), tail, replica_epoch };
         loops.push(tokio::spawn(async move {
             loop {
                 let pause = follower.step().await;
@@ -293,25 +293,25 @@
 #[tokio::test(start_paused = true)]
 async fn what_was_read_for_an_earlier_copy_is_not_folded() {
     let (log, node) = (HeldLog::default(), idle_node());
-    let (tail, copy) = (TailReader::new(LogTopic::Jobs), node.copy());
-    let mut follower = JobFollower { node: node.clone(), log: log.clone(), tail, copy };
+    let (tail, replica_epoch) = (TailReader::new(LogTopic::Jobs), node.replica_epoch());
+    let mut follower = JobFollower { node: node.clone(), log: log.clone(), tail, replica_epoch };
     let reading = tokio::spawn(async move { follower.step().await });
     sleep(Duration::from_millis(10)).await;
     node.set_replicas(&ReplicaList::default(), false);
     node.set_replicas(&ReplicaList::default(), true);
     log.0.notify_one();
     reading.await.expect("no panic");
-    assert!(!node.has_replica() && node.book_end() == 0);
-    assert!(node.book().get(job_id(1)).is_none());
+    assert!(!node.has_replica() && node.applied_offset() == 0);
+    assert!(node.job_table().get(job_id(1)).is_none());
 }
 
 /// An entry with a copy that has job 1, served on a port.
 async fn copy_with_job(is_log_well: bool) -> (Arc<JobNode>, SocketAddr) {
     let node = idle_node();
     let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![step(1)]))));
-    node.fold_newest(&[(0, record)], 1);
+    node.fold_snapshot(&[(0, record)], 1);
     node.set_loaded();
-    node.touch();
+    node.record_log_answer();
     while !is_log_well && !node.is_log_silent() {
         sleep(Duration::from_millis(20)).await;
     }
@@ -346,7 +346,7 @@
     let client = QueryClient::new(HttpTransport::open());
     for _ in 0..4 {
         // A busy machine can make the log's last answer old between two lines.
-        copy.touch();
+        copy.record_log_answer();
         let answer = client.ask(&node, &JobQuery::Job(job_id(1))).await;
         let known = match answer {
             Some(JobAnswer::Job(Some(known)) | JobAnswer::Stale(known)) => known,
--- a/tests/submitter.rs
+++ b/tests/submitter.rs
@@ -89,7 +89,7 @@
         if let Some(batch) = node.with_scheduler(Scheduler::take_commit).flatten()
             && !batch.relayed.is_empty()
         {
-            node.relayed(&batch.relayed);
+            node.complete_relays(&batch.relayed);
             break;
         }
     }
--- a/tests/support/cancel_callers.rs
+++ b/tests/support/cancel_callers.rs
@@ -91,7 +91,7 @@
         if !self.entries[incarnation.0].reaches_log {
             return;
         }
-        let from = self.node(incarnation).book_end();
+        let from = self.node(incarnation).applied_offset();
         let Some(batch) = self.log.read(from) else { return };
         let reads_ms = self.entries[incarnation.0].reads_ms.clone();
         let ms = self.draw(&reads_ms).min(CATCH_UP_MS);
--- a/tests/support/cancel_leader.rs
+++ b/tests/support/cancel_leader.rs
@@ -81,11 +81,11 @@
         let takeover_ms = self.delays.takeover_ms.clone();
         let ms = self.draw(&takeover_ms);
         let node = self.node(incarnation);
-        if node.book_end() >= takeover.end {
+        if node.applied_offset() >= takeover.end {
             self.at_entry(ms, incarnation, move |site| site.install(incarnation, takeover));
             return;
         }
-        let from = node.book_end();
+        let from = node.applied_offset();
         let step = match self.log.read(from) {
             Some(batch) => (TailStep::Records(batch.records), batch.next),
             None => (TailStep::Snapshot(self.log.newest()), self.log.end),
@@ -109,13 +109,13 @@
             config: Arc::new(one_pool()),
             predecessor,
             confirmed_ms: self.entries[incarnation.0].confirmed_ms.max(raised_ms),
-            jobs_read_ms: raised_ms.max(node.jobs_ms()),
+            jobs_read_ms: raised_ms.max(node.jobs_read_ms()),
             workers_read_ms: raised_ms,
             now: node.now(),
             wall_ms: WALL_OFFSET_MS + self.now,
         };
         let now = start.now;
-        let mut scheduler = Scheduler::open(start, &node.book());
+        let mut scheduler = Scheduler::open(start, &node.job_table());
         let listed = self.workers.iter().map(|worker| worker.entry.clone()).collect();
         scheduler.workers_listed(listed, now);
         node.set_scheduler(Some(scheduler));
@@ -230,12 +230,12 @@
             return;
         }
         let node = self.node(incarnation);
-        if !batch.records.is_empty() && node.fold_own(&batch.decoded, offset, end) {
-            node.jobs_shown(sent_ms);
+        if !batch.records.is_empty() && node.fold_appended(&batch.decoded, offset, end) {
+            node.record_jobs_read(sent_ms);
         }
         let now = node.now();
         node.with_scheduler(|scheduler| scheduler.committed(batch, now));
-        node.relayed(&batch.relayed);
+        node.complete_relays(&batch.relayed);
         self.entries[incarnation.0].is_committing = false;
         self.answer_taken(incarnation);
     }
--- a/tests/support/cancel_site.rs
+++ b/tests/support/cancel_site.rs
@@ -340,7 +340,7 @@
             });
             return;
         };
-        let from = position.max(node.book_end());
+        let from = position.max(node.applied_offset());
         self.entries[incarnation.0].position = Some(from);
         let (sent_ms, until) = (node.now(), self.now + READ_WAIT_MS);
         self.wait_for_records(incarnation, from, sent_ms, until);
@@ -376,7 +376,7 @@
             fold_step(&node, TailStep::Records(batch.records), position);
             node.set_current();
             let waited_ms = if is_empty { READ_WAIT_MS } else { 0 };
-            node.jobs_shown(node.now().min(sent_ms + waited_ms));
+            node.record_jobs_read(node.now().min(sent_ms + waited_ms));
         }
         let pause_ms = if is_empty { 1 } else { FOLLOW_GAP_MS };
         self.at_entry(pause_ms, incarnation, move |site| site.follow(incarnation));
--- a/tests/takeover_view.rs
+++ b/tests/takeover_view.rs
@@ -212,7 +212,7 @@
     let takeover = Takeover::begin(config(), old_ms);
     assert!(!takeover.starts_within(old_ms + 700).await);
     assert!(takeover.node.with_scheduler(|_| ()).is_some(), "the takeover is complete");
-    takeover.node.jobs_shown(takeover.node.now());
+    takeover.node.record_jobs_read(takeover.node.now());
     assert!(takeover.starts_within(200).await, "it starts as soon as the log was read");
 }
 
@@ -229,7 +229,7 @@
     let old_ms = bounds().cancel_ms / 2 + 100;
     let takeover = Takeover::begin(config(), old_ms);
     sleep(Duration::from_millis(old_ms - 200)).await;
-    takeover.node.jobs_shown(takeover.node.now());
+    takeover.node.record_jobs_read(takeover.node.now());
     assert!(takeover.starts_within(900).await);
 }
 
@@ -241,9 +241,9 @@
     sleep(Duration::from_millis(100)).await;
     takeover.log.blocks_leadership.store(true, Ordering::Relaxed);
     sleep(Duration::from_millis(1_800)).await;
-    takeover.node.jobs_shown(takeover.node.now());
+    takeover.node.record_jobs_read(takeover.node.now());
     for _ in 0..10 {
-        takeover.node.jobs_shown(takeover.node.now());
+        takeover.node.record_jobs_read(takeover.node.now());
         assert!(!takeover.starts_within(100).await);
     }
 }
@@ -257,11 +257,11 @@
         let takeover = Takeover::begin(config, 2_200);
         takeover.log.blocks_worker_reads.store(true, Ordering::Relaxed);
         sleep(Duration::from_millis(2_100)).await;
-        takeover.node.jobs_shown(takeover.node.now());
+        takeover.node.record_jobs_read(takeover.node.now());
         assert_eq!(takeover.starts_within(800).await, has_admission_check);
         takeover.log.blocks_worker_reads.store(false, Ordering::Relaxed);
         for _ in 0..10 {
-            takeover.node.jobs_shown(takeover.node.now());
+            takeover.node.record_jobs_read(takeover.node.now());
             sleep(Duration::from_millis(100)).await;
         }
         assert!(takeover.starts_within(0).await);
@@ -275,7 +275,7 @@
     let takeover = Takeover::begin(config_without_admission_check(), 2_200);
     takeover.log.records_delay_ms.store(3_000, Ordering::Relaxed);
     for _ in 0..80 {
-        takeover.node.jobs_shown(takeover.node.now());
+        takeover.node.record_jobs_read(takeover.node.now());
         sleep(Duration::from_millis(100)).await;
     }
     assert!(takeover.node.with_scheduler(|_| ()).is_some(), "the takeover is complete");
--- a/tests/tombstones.rs
+++ b/tests/tombstones.rs
@@ -92,7 +92,7 @@
 fn desk(log: &MemoryLog, config: SiteConfig) -> CallerService<MemoryLog> {
     let node = idle_node();
     node.set_config(config);
-    node.touch();
+    node.record_log_answer();
     let relay = RelayClient::new(HttpTransport::open());
     let queries = QueryClient::new(HttpTransport::open());
     let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), 1);
@@ -146,7 +146,7 @@
         now: 100_000,
         wall_ms: WALL_MS,
     };
-    Scheduler::open(start, &node.book()).stats().jobs
+    Scheduler::open(start, &node.job_table()).stats().jobs
 }
 
 const UNKNOWN_JOB: CallerReply = CallerReply::Refused(ResultCode::UnknownJob, None);
@@ -166,7 +166,7 @@
     assert_eq!(second.job_state(&anyone, id).await, cancelled);
     assert_eq!(first.job_state(&anyone, id).await, cancelled);
     let node = new_entry(&log).await;
-    assert_eq!(node.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
+    assert_eq!(node.job_table().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
     assert_eq!(runnable_jobs(&node), 0);
 }
 
@@ -193,7 +193,10 @@
     assert_eq!(submit(&other, &anyone, id).await, CallerReply::Stored);
     assert_eq!(cancel(&behind, &anyone, id).await, CallerReply::Stored);
     let new_entry = new_entry(&log).await;
-    assert_eq!(new_entry.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
+    assert_eq!(
+        new_entry.job_table().get(id).and_then(|job| job.state()),
+        Some(JobState::Cancelled)
+    );
     assert_eq!(runnable_jobs(&new_entry), 0);
 }
 
@@ -232,7 +235,7 @@
     assert_eq!(first.job_state(&east, id).await, cancelled);
     assert_eq!(first.job_state(&west, id).await, UNKNOWN_JOB);
     let node = new_entry(&log).await;
-    assert_eq!(node.book().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
+    assert_eq!(node.job_table().get(id).and_then(|job| job.state()), Some(JobState::Cancelled));
     assert_eq!(runnable_jobs(&node), 0);
     // A job of a queue that is open to all may be cancelled by every caller that may see it.
     let (anyone, open) = (CallerAccess::default(), job_id(2));
--- a/tests/two_leaders.rs
+++ b/tests/two_leaders.rs
@@ -429,7 +429,7 @@
     async fn submit(&self) {
         let long = StepSpec { estimate_ms: 60_000, ..step(1) };
         let record = JobRecord::Submitted(job_id(1), Arc::new(submission(job(vec![long]))));
-        self.old.node.jobs_shown(self.old.node.now());
+        self.old.node.record_jobs_read(self.old.node.now());
         // The record is stored by the time the task runs.
         let _ = self.old.node.relay(vec![record]);
         wait_for("the task to run", || self.workers.live_run(0).is_some()).await;
