--- a/src/jobs/entry.rs
+++ b/src/jobs/entry.rs
@@ -37,7 +37,7 @@
 /// wants two misses.
 const STOP_NOTICE: Duration = Duration::from_millis(2_400);
 /// Time for requests in flight after that, within the platform's own limit.
-const STOP_PATIENCE: Duration = Duration::from_millis(2_600);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// Part of the platform's limit that is left unused.
 const STOP_RESERVE: Duration = Duration::from_millis(500);
 /// Pause after a failed accept, as when descriptors have run out.
@@ -49,7 +49,7 @@
     fn serve(
         &self,
         stream: TcpStream,
-        desk: CallerService<L>,
+        service: CallerService<L>,
         watcher: Watcher,
     ) -> impl Future<Output = ()> + Send;
 
@@ -119,17 +119,22 @@
         let relay = RelayClient::new(ports.transport);
         let submitter = submitter::spawn(node.clone(), log.clone(), relay.clone(), incarnation);
         let reader = Arc::new(CatchUpReader::new(node.clone(), log));
-        let service = PeerService {
+        let peer_service = PeerService {
             node: node.clone(),
             workers: ports.leader.workers.clone(),
             reader: reader.clone(),
         };
-        let desk = CallerService { node: node.clone(), reader, submitter, relay, queries };
+        let service = CallerService { node: node.clone(), reader, submitter, relay, queries };
         let connections = Arc::new(CallerConnections::open());
         let accepting = vec![
-            tokio::spawn(accept_callers(callers, desk, ports.callers.clone(), connections.clone())),
+            tokio::spawn(accept_callers(
+                callers,
+                service,
+                ports.callers.clone(),
+                connections.clone(),
+            )),
             tokio::spawn(accept_probes(ready, node.clone(), ports.callers)),
-            tokio::spawn(relay::accept(peers, service)),
+            tokio::spawn(relay::accept(peers, peer_service)),
         ];
         let loops = loops(&node, &ports.leader, ports.operator_decoder, offers);
         let supervisor = LoopSupervisor::spawn(node.logger.clone(), loops)
@@ -147,17 +152,17 @@
     /// has noticed; then connections close after what they have in flight. Returns whether nothing
     /// was cut off.
     pub async fn stop(self) -> bool {
-        let begun = Instant::now();
+        let started = Instant::now();
         info!(self.node.logger, "stopping");
         self.node.begin_stop();
         let grace = Duration::from_millis(self.node.settings.bounds.grace_ms);
-        let whole = grace.saturating_sub(STOP_RESERVE);
-        sleep(STOP_NOTICE.min(whole / 2)).await;
+        let stop_time = grace.saturating_sub(STOP_RESERVE);
+        sleep(STOP_NOTICE.min(stop_time / 2)).await;
         for task in &self.accepting {
             task.abort();
         }
-        let left = STOP_PATIENCE.min(whole.saturating_sub(begun.elapsed()));
-        let is_graceful = self.connections.close(left).await;
+        let drain_time = DRAIN_TIMEOUT.min(stop_time.saturating_sub(started.elapsed()));
+        let is_graceful = self.connections.close(drain_time).await;
         if !is_graceful {
             warn!(self.node.logger, "requests were still in flight at the end of the stop");
         }
@@ -179,7 +184,7 @@
 
 async fn accept_callers<L: JobLog, C: CallerProtocol<L>>(
     listener: TcpListener,
-    desk: CallerService<L>,
+    service: CallerService<L>,
     protocol: C,
     connections: Arc<CallerConnections>,
 ) {
@@ -187,11 +192,11 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let Some(watcher) = connections.watcher() else { return };
-                let (desk, protocol) = (desk.clone(), protocol.clone());
-                tokio::spawn(async move { protocol.serve(stream, desk, watcher).await });
+                let (service, protocol) = (service.clone(), protocol.clone());
+                tokio::spawn(async move { protocol.serve(stream, service, watcher).await });
             }
             Err(error) => {
-                warn!(desk.node.logger, "a connection can't be accepted"; "error" => %error);
+                warn!(service.node.logger, "a connection can't be accepted"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -233,7 +238,7 @@
     let operator = (node.clone(), parts.log.clone());
     let leadership = (node.clone(), parts.clone());
     let offers = node.clone();
-    let views = (node.clone(), transport.clone());
+    let confirmations = (node.clone(), transport.clone());
     vec![
         SupervisedLoop::new(move || JobFollower {
             node: jobs.0.clone(),
@@ -264,8 +269,8 @@
             offered_ms: None,
         }),
         SupervisedLoop::new(move || ConfirmLoop {
-            node: views.0.clone(),
-            transport: views.1.clone(),
+            node: confirmations.0.clone(),
+            transport: confirmations.1.clone(),
             turn: 0,
             peers_asked_ms: None,
         }),
--- a/src/jobs/follower.rs
+++ b/src/jobs/follower.rs
@@ -18,18 +18,18 @@
 /// is up; a configuration must be in force within 2 s.
 const READ_WAIT: Duration = Duration::from_millis(700);
 /// Pause after a read that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Least time between two reads of the job log: each read is paid for, a caller looks at its job a few
 /// times in its life, and the leader learns of jobs by the relay. Only what an entry has appended
 /// itself, since it could not reach the leader, waits for this.
-const FOLLOW_GAP: Duration = Duration::from_millis(180);
+const FOLLOW_INTERVAL_MIN: Duration = Duration::from_millis(180);
 /// Time between two looks whether a leader's own appends still show all that is written, or whether this entry is to keep a
 /// copy now.
-const SOLE_PAUSE: Duration = Duration::from_millis(100);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Part of the time for which a reading counts that the wait of one may take: one in so many.
-const READ_PART: u64 = 5;
+const READ_WAIT_DIVISOR: u64 = 5;
 /// Least time between two reads of what operators wrote.
-const OPERATOR_GAP: Duration = Duration::from_millis(50);
+const OPERATOR_READ_INTERVAL_MIN: Duration = Duration::from_millis(50);
 
 /// Decodes what operators write; the platform's adapter knows the form.
 pub type OperatorDecoder = fn(&KeyedRecord) -> Option<OperatorRecord>;
@@ -135,9 +135,9 @@
                 break;
             }
         }
-        let whole = std::mem::take(&mut self.partial);
-        self.position = whole.end;
-        TailStep::Snapshot(whole.records)
+        let snapshot = std::mem::take(&mut self.partial);
+        self.position = snapshot.end;
+        TailStep::Snapshot(snapshot.records)
     }
 }
 
@@ -158,7 +158,7 @@
 
     async fn step(&mut self) -> Duration {
         if self.node.is_sole_writer() || !self.node.is_replica() {
-            return SOLE_PAUSE;
+            return IDLE_CHECK_INTERVAL;
         }
         let replica_epoch = self.node.replica_epoch();
         if self.replica_epoch != replica_epoch {
@@ -167,39 +167,39 @@
         }
         // What callers made this entry read, and what it has appended itself.
         self.tail.skip_to(self.node.applied_offset());
-        let sent_ms = self.node.now();
-        let step = self.tail.next(&self.log, READ_WAIT).await;
-        let is_empty = match &step {
+        let asked_ms = self.node.now();
+        let tail_step = self.tail.next(&self.log, READ_WAIT).await;
+        let is_empty = match &tail_step {
             TailStep::Snapshot(records) | TailStep::Records(records) => records.is_empty(),
-            TailStep::Failed => return FAILED_PAUSE,
+            TailStep::Failed => return RETRY_DELAY,
         };
         self.node.record_log_answer();
         if self.node.replica_epoch() != replica_epoch {
             return Duration::ZERO;
         }
-        let is_whole = matches!(step, TailStep::Snapshot(_));
-        fold_step(&self.node, step, self.tail.position());
+        let is_snapshot = matches!(tail_step, TailStep::Snapshot(_));
+        fold_step(&self.node, tail_step, self.tail.position());
         if self.tail.is_at_end() {
             self.node.set_current();
             self.node.record_jobs_read(read_as_of_ms(
                 is_empty,
-                sent_ms,
+                asked_ms,
                 READ_WAIT,
                 self.node.now(),
             ));
         }
-        if is_whole {
+        if is_snapshot {
             self.node.set_loaded();
         }
-        if is_empty { Duration::ZERO } else { FOLLOW_GAP }
+        if is_empty { Duration::ZERO } else { FOLLOW_INTERVAL_MIN }
     }
 }
 
 /// As of when a read that came to the log's end shows it, in milliseconds: when it was asked for, as its answer may have
 /// been on its way since; one without news was given when the wait was over.
-pub fn read_as_of_ms(is_empty: bool, sent_ms: u64, wait: Duration, now: u64) -> u64 {
+pub fn read_as_of_ms(is_empty: bool, asked_ms: u64, wait: Duration, now: u64) -> u64 {
     let waited_ms = if is_empty { crate::clock::millis(wait) } else { 0 };
-    now.min(sent_ms + waited_ms)
+    now.min(asked_ms + waited_ms)
 }
 
 /// Folds what a step along the job log has brought, up to `position`.
@@ -244,16 +244,16 @@
 
     async fn step(&mut self) -> Duration {
         // By the start of the reading: what operators wrote while its answer was on its way may be missing.
-        let began_ms = self.node.now();
-        let wait = self.read_wait(began_ms);
+        let started_ms = self.node.now();
+        let wait = self.read_wait(started_ms);
         let (records, is_read_on) = match self.tail.next(&self.log, wait).await {
             TailStep::Snapshot(records) => (records, false),
             TailStep::Records(records) => (records, true),
-            TailStep::Failed => return FAILED_PAUSE,
+            TailStep::Failed => return RETRY_DELAY,
         };
         self.node.record_log_answer();
         for (offset, record) in &records {
-            self.take(*offset, record);
+            self.apply(*offset, record);
         }
         // Pages of a snapshot are read one after the other: only what is read on from there is whole.
         let is_behind = is_read_on && !self.tail.is_at_end();
@@ -262,15 +262,15 @@
             // date would keep the one in force from callers for seconds.
             self.tail.skip_to_newest();
         }
-        let is_shown = is_read_on && !is_behind && !self.has_unreadable_config;
-        if is_shown {
-            self.node.record_config_read(began_ms);
+        let is_confirmed = is_read_on && !is_behind && !self.has_unreadable_config;
+        if is_confirmed {
+            self.node.record_config_read(started_ms);
         }
-        match (records.is_empty(), is_shown) {
+        match (records.is_empty(), is_confirmed) {
             (true, true) => Duration::ZERO,
             // The next reading would not wait for news either.
-            (true, false) => FAILED_PAUSE,
-            (false, _) => OPERATOR_GAP,
+            (true, false) => RETRY_DELAY,
+            (false, _) => OPERATOR_READ_INTERVAL_MIN,
         }
     }
 }
@@ -283,13 +283,15 @@
         if !rule.is_strict {
             return READ_WAIT;
         }
-        let part = Duration::from_millis(rule.bound_ms / READ_PART);
-        let is_old =
-            self.node.config_confirmed_ms().is_none_or(|shown| now > shown + rule.bound_ms / 2);
-        if is_old { Duration::ZERO } else { READ_WAIT.min(part) }
+        let wait_max = Duration::from_millis(rule.bound_ms / READ_WAIT_DIVISOR);
+        let is_old = self
+            .node
+            .config_confirmed_ms()
+            .is_none_or(|confirmed| now > confirmed + rule.bound_ms / 2);
+        if is_old { Duration::ZERO } else { READ_WAIT.min(wait_max) }
     }
 
-    fn take(&mut self, offset: u64, record: &KeyedRecord) {
+    fn apply(&mut self, offset: u64, record: &KeyedRecord) {
         match (self.decoder)(record) {
             Some(OperatorRecord::Config(config)) => {
                 self.has_unreadable_config = false;
--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -20,22 +20,22 @@
 use crate::scheduler::Scheduler;
 
 /// Age of the last answer of the log, in milliseconds, from which an entry is not ready: the others
-/// of its data centre may still reach it.
-const CONTACT_AGE_MAX_MS: u64 = 2_500;
+/// of its data centre may still advance_to it.
+const LOG_ANSWER_AGE_MAX_MS: u64 = 2_500;
 
 /// Time without a renewal after which a leader counts as silent, in milliseconds: two renewals.
-const LEADER_SILENT_MS: u64 = 900;
+const LEADER_TIMEOUT_MS: u64 = 900;
 /// Silence after which the log counts as away, in milliseconds: the followers' reads are answered at
 /// least every 700 ms, a slow log's 300 ms later.
-const AWAY_AGE_MS: u64 = 1_200;
+const LOG_TIMEOUT_MS: u64 = 1_200;
 /// Age from which the book is not counted from, in milliseconds: callers are promised a count that is 2 s old
 /// at most, and the followers come to the log's end every 900 ms where they keep up.
-const CURRENT_AGE_MS: u64 = 1_600;
+const CURRENT_AGE_MAX_MS: u64 = 1_600;
 /// Time for which an append of our own shows that nobody else writes, in milliseconds: what others append
 /// meanwhile shows at the next one, as that does not follow on what the book has.
-const OWN_AGE_MS: u64 = 600;
+const OWN_APPEND_AGE_MAX_MS: u64 = 600;
 /// Time for which it counts that another entry was found to read the log, in milliseconds: two questions.
-const TURNED_AWAY_AGE_MS: u64 = 1_500;
+const PEER_READ_AGE_MAX_MS: u64 = 1_500;
 /// Time for which it counts that the leader's address was found closed, in milliseconds: longer than
 /// the silence after which it is acted on.
 const CLOSED_AGE_MAX_MS: u64 = 2_000;
@@ -62,7 +62,7 @@
     /// Number of the present copy; a reading for an earlier one is void.
     replica_epoch: AtomicU64,
     append_ms: AtomicU64,
-    leader_ms: AtomicU64,
+    leader_seen_ms: AtomicU64,
     config: ArcSwapOption<SiteConfig>,
     /// When the newest reading began that showed the configuration in force to be the newest, plus one; 0 for
     /// none.
@@ -74,18 +74,18 @@
     applied_offset: AtomicU64,
     /// Appends of our own beyond the book's end, by their offset, and their ends.
     own_ranges: Mutex<BTreeMap<u64, u64>>,
-    own_ms: AtomicU64,
+    own_append_ms: AtomicU64,
     /// When the job log held no more than the book has, in milliseconds.
     jobs_read_ms: AtomicU64,
     is_loaded: AtomicBool,
     waves: Mutex<BTreeMap<u64, MaintenanceWave>>,
     scheduler: Mutex<Option<Scheduler>>,
     leader: ArcSwapOption<SocketAddr>,
-    closed_ms: AtomicU64,
-    relayed: Mutex<HashMap<u64, oneshot::Sender<()>>>,
+    leader_closed_ms: AtomicU64,
+    relay_waiters: Mutex<HashMap<u64, oneshot::Sender<()>>>,
     next_token: AtomicU64,
     log_answer_ms: AtomicU64,
-    stored_ms: AtomicU64,
+    last_store_ms: AtomicU64,
     current_ms: AtomicU64,
     is_stopping: AtomicBool,
 }
@@ -106,7 +106,7 @@
             is_replica: AtomicBool::new(true),
             replica_epoch: AtomicU64::new(0),
             append_ms: AtomicU64::new(0),
-            leader_ms: AtomicU64::new(0),
+            leader_seen_ms: AtomicU64::new(0),
             config: ArcSwapOption::empty(),
             config_confirmed_ms: AtomicU64::new(0),
             peers: ArcSwap::default(),
@@ -114,17 +114,17 @@
             job_table: Mutex::new(JobTable::default()),
             applied_offset: AtomicU64::new(0),
             own_ranges: Mutex::default(),
-            own_ms: AtomicU64::new(0),
+            own_append_ms: AtomicU64::new(0),
             jobs_read_ms: AtomicU64::new(0),
             is_loaded: AtomicBool::new(false),
             waves: Mutex::new(BTreeMap::new()),
             scheduler: Mutex::new(None),
             leader: ArcSwapOption::empty(),
-            closed_ms: AtomicU64::new(0),
-            relayed: Mutex::new(HashMap::new()),
+            leader_closed_ms: AtomicU64::new(0),
+            relay_waiters: Mutex::new(HashMap::new()),
             next_token: AtomicU64::new(0),
             log_answer_ms: AtomicU64::new(0),
-            stored_ms: AtomicU64::new(0),
+            last_store_ms: AtomicU64::new(0),
             current_ms: AtomicU64::new(0),
             is_stopping: AtomicBool::new(false),
         }
@@ -165,8 +165,8 @@
 
     /// Age of the newest such reading, in milliseconds.
     pub fn config_age_ms(&self) -> Option<u64> {
-        let shown = self.config_confirmed_ms()?;
-        Some(self.now().saturating_sub(shown))
+        let confirmed = self.config_confirmed_ms()?;
+        Some(self.now().saturating_sub(confirmed))
     }
 
     /// The configuration by which keys may be honoured now; nothing if none may be.
@@ -174,9 +174,9 @@
     /// The reading is looked at first: what it has shown was in force before it counted, so the configuration
     /// that is loaded after it is as new or newer.
     pub fn honoured_config(&self) -> Option<Arc<SiteConfig>> {
-        let shown = self.config_confirmed_ms();
+        let confirmed = self.config_confirmed_ms();
         let rule = &self.settings.bounds.revocation;
-        if !rule.may_honour(shown, self.now()) {
+        if !rule.may_honour(confirmed, self.now()) {
             return None;
         }
         self.config()
@@ -258,14 +258,14 @@
     }
 
     /// Takes the time that the log takes for an append, and when a leader was last seen, in milliseconds.
-    pub fn set_append_ms(&self, append_ms: u64, seen_ms: Option<u64>) {
+    pub fn set_append_ms(&self, append_ms: u64, leader_seen_ms: Option<u64>) {
         self.append_ms.store(append_ms, Ordering::Relaxed);
-        self.leader_ms.store(seen_ms.unwrap_or(0), Ordering::Relaxed);
+        self.leader_seen_ms.store(leader_seen_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
     /// Whether no leader was seen for so long that it is likely gone. One that is only slow may stay so.
     pub fn is_leader_silent(&self) -> bool {
-        self.now() > self.leader_ms.load(Ordering::Relaxed) + LEADER_SILENT_MS
+        self.now() > self.leader_seen_ms.load(Ordering::Relaxed) + LEADER_TIMEOUT_MS
     }
 
     /// Time that appends would stand in line if each entry made one of its own, in milliseconds.
@@ -280,14 +280,14 @@
 
     /// Forgets the copy of the job log. What is being read for it is not folded any more.
     fn drop_replica(&self) {
-        let mut book = self.job_table();
+        let mut table = self.job_table();
         self.replica_epoch.fetch_add(1, Ordering::AcqRel);
         self.is_loaded.store(false, Ordering::Release);
         self.applied_offset.store(0, Ordering::Release);
         self.current_ms.store(0, Ordering::Release);
-        self.own_ms.store(0, Ordering::Release);
+        self.own_append_ms.store(0, Ordering::Release);
         self.own_ranges().clear();
-        *book = JobTable::default();
+        *table = JobTable::default();
     }
 
     /// The job book.
@@ -300,15 +300,15 @@
     /// What this entry had stored through the leader meanwhile, at an offset that it does not know, is among them
     /// or is read on from `end`.
     pub fn fold_snapshot(&self, records: &[(u64, JobRecord)], end: u64) {
-        let mut book = self.job_table();
+        let mut table = self.job_table();
         // Another reader has come further: a job that it saw being dropped must not come back.
         if self.applied_offset() >= end {
             return;
         }
-        let new = book.apply_snapshot(records, end);
-        book.note_finished(&new, self.now());
-        self.reach(end);
-        book.forget_drops(self.applied_offset());
+        let new = table.apply_snapshot(records, end);
+        table.note_finished(&new, self.now());
+        self.advance_to(end);
+        table.forget_drops(self.applied_offset());
         // Before anybody else finds the book as far: by that the view of the jobs counts as new.
         self.apply_to_scheduler(&new);
     }
@@ -319,16 +319,16 @@
     /// seen less. What the book has already is passed over; folded again, an old record would undo a
     /// newer one, such as the dropping of a job, which would then run once more.
     pub fn fold_read(&self, records: Vec<(u64, JobRecord)>, next: u64) {
-        let mut book = self.job_table();
+        let mut table = self.job_table();
         let end = self.applied_offset();
         let new: Vec<(u64, JobRecord)> =
             records.into_iter().filter(|(offset, _)| *offset >= end).collect();
         for (offset, record) in &new {
-            book.fold(record, *offset);
+            table.fold(record, *offset);
         }
-        book.note_finished(&new, self.now());
-        self.reach(next);
-        book.forget_drops(self.applied_offset());
+        table.note_finished(&new, self.now());
+        self.advance_to(next);
+        table.forget_drops(self.applied_offset());
         // Before anybody else finds the book as far: by that the view of the jobs counts as new.
         self.apply_to_scheduler(&new);
     }
@@ -341,17 +341,17 @@
     ///
     /// Returns whether the book has all that the log held before them.
     pub fn fold_appended(&self, records: &[JobRecord], offset: u64, end: u64) -> bool {
-        let mut book = self.job_table();
+        let mut table = self.job_table();
         let own: Vec<(u64, JobRecord)> = (offset..).zip(records.iter().cloned()).collect();
         for (offset, record) in &own {
-            book.fold(record, *offset);
+            table.fold(record, *offset);
         }
-        book.note_finished(&own, self.now());
+        table.note_finished(&own, self.now());
         self.own_ranges().insert(offset, end);
-        let is_whole = self.reach(offset.min(self.applied_offset()));
-        book.forget_drops(self.applied_offset());
-        let own_ms = if is_whole { self.now().max(1) } else { 0 };
-        self.own_ms.store(own_ms, Ordering::Release);
+        let is_whole = self.advance_to(offset.min(self.applied_offset()));
+        table.forget_drops(self.applied_offset());
+        let own_append_ms = if is_whole { self.now().max(1) } else { 0 };
+        self.own_append_ms.store(own_append_ms, Ordering::Release);
         if is_whole {
             self.set_current();
         }
@@ -359,9 +359,9 @@
     }
 
     /// The book has all that the job log held at `shown_ms`, and the scheduler has been told of it.
-    pub fn record_jobs_read(&self, shown_ms: u64) {
-        self.jobs_read_ms.fetch_max(shown_ms, Ordering::AcqRel);
-        self.with_scheduler(|scheduler| scheduler.jobs_read(shown_ms));
+    pub fn record_jobs_read(&self, as_of_ms: u64) {
+        self.jobs_read_ms.fetch_max(as_of_ms, Ordering::AcqRel);
+        self.with_scheduler(|scheduler| scheduler.jobs_read(as_of_ms));
     }
 
     /// When the job log last held no more than the book has, in milliseconds.
@@ -371,7 +371,7 @@
 
     /// The book has all before `end`, and what this entry has appended from there on; returns whether that
     /// leaves nothing of our own beyond it.
-    fn reach(&self, end: u64) -> bool {
+    fn advance_to(&self, end: u64) -> bool {
         let mut ranges = self.own_ranges();
         let mut reached = self.applied_offset.fetch_max(end, Ordering::AcqRel).max(end);
         while let Some(range) = ranges.first_entry().filter(|range| *range.key() <= reached) {
@@ -388,19 +388,19 @@
     /// Whether this entry leads and its own appends show that nobody else writes: one is folded a moment ago
     /// that followed on what the book has.
     pub fn is_sole_writer(&self) -> bool {
-        let own = self.own_ms.load(Ordering::Acquire);
-        own > 0 && self.now() < own + OWN_AGE_MS && self.with_scheduler(|_| ()).is_some()
+        let own = self.own_append_ms.load(Ordering::Acquire);
+        own > 0 && self.now() < own + OWN_APPEND_AGE_MAX_MS && self.with_scheduler(|_| ()).is_some()
     }
 
     /// Folds records of callers that are on the log, wherever that is. Without a copy of the log nothing would ever
     /// tell what becomes of them.
     pub fn fold(&self, records: &[(u64, JobRecord)]) {
         if self.is_replica() {
-            let mut book = self.job_table();
+            let mut table = self.job_table();
             for (offset, record) in records {
-                book.fold(record, *offset);
+                table.fold(record, *offset);
             }
-            book.note_finished(records, self.now());
+            table.note_finished(records, self.now());
         }
         self.apply_to_scheduler(records);
     }
@@ -457,12 +457,12 @@
 
     /// The leader's address was found closed.
     pub fn record_leader_closed(&self) {
-        self.closed_ms.store(self.now().max(1), Ordering::Relaxed);
+        self.leader_closed_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
     /// Whether the leader's address was found closed lately.
     pub fn is_leader_closed(&self) -> bool {
-        let closed = self.closed_ms.load(Ordering::Relaxed);
+        let closed = self.leader_closed_ms.load(Ordering::Relaxed);
         closed > 0 && self.now() < closed + CLOSED_AGE_MAX_MS
     }
 
@@ -479,7 +479,7 @@
         let (sender, receiver) = oneshot::channel();
         let now = self.now();
         // In place before the scheduler knows the token, so that no commit can come first.
-        self.waiters().insert(token, sender);
+        self.relay_waiters().insert(token, sender);
         let is_taken = self.with_scheduler(|scheduler| {
             let leads = !scheduler.is_deposed();
             if leads {
@@ -488,7 +488,7 @@
             leads
         });
         if is_taken != Some(true) {
-            self.waiters().remove(&token);
+            self.relay_waiters().remove(&token);
             return None;
         }
         self.wake.notify_one();
@@ -497,21 +497,21 @@
 
     /// Tells those that relayed these batches that the log has them.
     pub fn complete_relays(&self, tokens: &[u64]) {
-        let mut waiters = self.waiters();
-        for sender in tokens.iter().filter_map(|token| waiters.remove(token)) {
+        let mut relay_waiters = self.relay_waiters();
+        for sender in tokens.iter().filter_map(|token| relay_waiters.remove(token)) {
             // One that went away meanwhile needs no answer.
             let _ = sender.send(());
         }
     }
 
-    fn waiters(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<()>>> {
-        self.relayed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn relay_waiters(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<()>>> {
+        self.relay_waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Begins or ends leading.
     pub fn set_scheduler(&self, scheduler: Option<Scheduler>) {
         if scheduler.is_none() {
-            self.waiters().clear();
+            self.relay_waiters().clear();
         }
         *self.scheduler.lock().unwrap_or_else(PoisonError::into_inner) = scheduler;
     }
@@ -525,7 +525,7 @@
     pub fn log_age_ms(&self) -> Option<u64> {
         match self.log_answer_ms.load(Ordering::Acquire) {
             0 => None,
-            contact => Some(self.now().saturating_sub(contact)),
+            answered => Some(self.now().saturating_sub(answered)),
         }
     }
 
@@ -538,7 +538,7 @@
     /// further behind with each read, would tell callers of a tenth of the jobs that wait.
     pub fn is_current(&self) -> bool {
         let current = self.current_ms.load(Ordering::Acquire);
-        current > 0 && self.now() < current + CURRENT_AGE_MS
+        current > 0 && self.now() < current + CURRENT_AGE_MAX_MS
     }
 
     /// Whether to offer this entry to the leader.
@@ -548,21 +548,21 @@
 
     /// A record of a caller has reached the log, by whatever way, or the leader has shown that it would store one.
     pub fn record_store(&self) {
-        self.stored_ms.store(self.now().max(1), Ordering::Relaxed);
+        self.last_store_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
     /// Whether nothing reaches the log from here: it does not answer, nor does the leader store for
     /// us. A caller is then refused at once, while it still has time to try another entry; waiting
     /// would only show the same a second later.
     pub fn is_log_unreachable(&self) -> bool {
-        let stored = self.stored_ms.load(Ordering::Relaxed);
+        let stored = self.last_store_ms.load(Ordering::Relaxed);
         let last = stored.max(self.log_answer_ms.load(Ordering::Acquire));
-        self.now() > last + AWAY_AGE_MS
+        self.now() > last + LOG_TIMEOUT_MS
     }
 
     /// Whether this entry's own calls to the log go unanswered.
     pub fn is_log_silent(&self) -> bool {
-        self.now() > self.log_answer_ms.load(Ordering::Acquire) + AWAY_AGE_MS
+        self.now() > self.log_answer_ms.load(Ordering::Acquire) + LOG_TIMEOUT_MS
     }
 
     /// Another entry reads the log, and this one can't.
@@ -572,8 +572,8 @@
 
     /// Whether the log is silent here, and others were found a moment ago to read it.
     pub fn is_cut_off_from_log(&self) -> bool {
-        let told = self.peer_read_log_ms.load(Ordering::Relaxed);
-        told > 0 && self.now() < told + TURNED_AWAY_AGE_MS && self.is_log_silent()
+        let read = self.peer_read_log_ms.load(Ordering::Relaxed);
+        read > 0 && self.now() < read + PEER_READ_AGE_MAX_MS && self.is_log_silent()
     }
 
     /// Stops being ready.
@@ -590,7 +590,7 @@
     pub fn is_ready(&self) -> bool {
         !self.is_stopping()
             && self.config().is_some()
-            && self.log_age_ms().is_some_and(|age| age < CONTACT_AGE_MAX_MS)
+            && self.log_age_ms().is_some_and(|age| age < LOG_ANSWER_AGE_MAX_MS)
     }
 
     /// Brings the gauges up to date.
@@ -601,16 +601,16 @@
         metrics.update_traffic();
         metrics.log_age_ms.set(self.log_age_ms().map_or(-1, gauge));
         metrics.config_version.set(self.config().map_or(0, |config| gauge(config.version)));
-        let census = self.with_scheduler(|scheduler| scheduler.stats());
+        let stats = self.with_scheduler(|scheduler| scheduler.stats());
         metrics.replica.set(i64::from(self.has_replica()));
-        metrics.leading.set(i64::from(census.is_some()));
-        let census = census.unwrap_or_default();
-        metrics.open_jobs.set(size(census.jobs));
-        metrics.live_runs.set(size(census.runs));
+        metrics.leading.set(i64::from(stats.is_some()));
+        let stats = stats.unwrap_or_default();
+        metrics.open_jobs.set(size(stats.jobs));
+        metrics.live_runs.set(size(stats.runs));
         let now = self.now();
         let view_age_ms = self.with_scheduler(|scheduler| scheduler.view_age_ms(now));
         metrics.view_age_ms.set(view_age_ms.map_or(-1, gauge));
-        metrics.silent_workers.set(size(census.silent));
+        metrics.silent_workers.set(size(stats.silent));
         metrics.executors.set(size(self.executors().counts(self.now()).0));
         metrics.config_age_ms.set(self.config_age_ms().map_or(-1, gauge));
         let organisations = self.with_scheduler(|scheduler| scheduler.organisation_overviews());
