--- a/src/jobs/entry.rs
+++ b/src/jobs/entry.rs
@@ -1,4 +1,4 @@
-//! One entry's job side, tied together: listeners, followers, leadership, and a graceful stop.
+//! Assembles the job side of one entry: listeners, followers, leadership, and the graceful stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,19 +33,19 @@
 use crate::listener::{self, CallerConnections};
 use crate::transport::HttpTransport;
 
-/// Time not ready before connections are closed at a stop: the balancer looks once a second and
-/// wants two misses.
+/// Time at a stop between reporting not ready and closing connections. The load balancer probes
+/// once a second and removes the entry after two failed probes.
 const STOP_NOTICE: Duration = Duration::from_millis(2_400);
-/// Time for requests in flight after that, within the platform's own limit.
+/// Time for requests in flight after that, within the platform's limit for a stop.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Part of the platform's limit that is left unused.
+/// Share of the platform's limit for a stop that is left unused.
 const STOP_RESERVE: Duration = Duration::from_millis(500);
-/// Pause after a failed accept, as when descriptors have run out.
+/// Delay after a failed accept, as when file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serves a caller's connection; the platform's adapter knows the protocol.
+/// Protocol of callers and readiness probes; the platform's adapter implements it.
 pub trait CallerProtocol<L: JobLog>: Clone + Send + Sync + 'static {
-    /// Serves requests until the connection ends.
+    /// Serves a caller's requests until the connection ends or `watcher` asks for a graceful close.
     fn serve(
         &self,
         stream: TcpStream,
@@ -53,7 +53,7 @@
         watcher: Watcher,
     ) -> impl Future<Output = ()> + Send;
 
-    /// Serves readiness probes.
+    /// Serves readiness probes until the connection ends.
     fn serve_probes(
         &self,
         stream: TcpStream,
@@ -61,21 +61,21 @@
     ) -> impl Future<Output = ()> + Send;
 }
 
-/// What an entry works with.
+/// Connections of an entry to the outside.
 pub struct EntryPorts<L, W, V, P, C> {
-    /// What a leader works with.
+    /// Clients that a leader uses.
     pub leader: ConductorParts<L, W, V, P>,
-    /// The callers' protocol.
+    /// Protocol of the callers.
     pub callers: C,
-    /// Reads what operators write.
+    /// Decodes the operators' records.
     pub operator_decoder: OperatorDecoder,
-    /// Reaches other entries.
+    /// Sends requests to other entries.
     pub transport: HttpTransport,
 }
 
 /// A running entry.
 pub struct JobEntry {
-    /// Address that callers reach.
+    /// Address on which callers are served.
     pub callers: SocketAddr,
     node: Arc<JobNode>,
     supervisor: ActorRef<SupervisorCall>,
@@ -113,7 +113,7 @@
             "log" => %node.settings.log);
         let log = ports.leader.log.clone();
         let offers = ports.transport.clone();
-        // Whether this entry keeps a copy of the job log is told by the leadership stream.
+        // The leadership stream decides whether this entry keeps a replica of the job log.
         node.set_replicas(&ReplicaList::default(), false);
         let queries = QueryClient::new(ports.transport.clone());
         let relay = RelayClient::new(ports.transport);
@@ -148,9 +148,9 @@
         &self.node
     }
 
-    /// Stops gracefully: not ready and not leading first; callers are served on until the balancer
-    /// has noticed; then connections close after what they have in flight. Returns whether nothing
-    /// was cut off.
+    /// Stops gracefully. The entry first reports not ready and gives up the leadership, but still
+    /// serves callers until the load balancer has noticed. Then each connection closes once its
+    /// requests in flight are finished. Returns whether no request was cut off.
     pub async fn stop(self) -> bool {
         let started = Instant::now();
         info!(self.node.logger, "stopping");
@@ -164,9 +164,9 @@
         let drain_time = DRAIN_TIMEOUT.min(stop_time.saturating_sub(started.elapsed()));
         let is_graceful = self.connections.close(drain_time).await;
         if !is_graceful {
-            warn!(self.node.logger, "requests were still in flight at the end of the stop");
+            warn!(self.node.logger, "requests still in flight at the end of the stop were cut off");
         }
-        // The supervisor may be gone already; then there is nothing left to stop.
+        // If the supervisor is gone already, nothing is left to stop.
         let _ = self.supervisor.cast(SupervisorCall::StopAll);
         info!(self.node.logger, "stopped"; "graceful" => is_graceful);
         is_graceful
@@ -196,7 +196,7 @@
                 tokio::spawn(async move { protocol.serve(stream, service, watcher).await });
             }
             Err(error) => {
-                warn!(service.node.logger, "a connection can't be accepted"; "error" => %error);
+                warn!(service.node.logger, "can't accept a caller's connection"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -215,7 +215,7 @@
                 tokio::spawn(async move { protocol.serve_probes(stream, node).await });
             }
             Err(error) => {
-                warn!(node.logger, "a probe can't be accepted"; "error" => %error);
+                warn!(node.logger, "can't accept a probe's connection"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/src/jobs/follower.rs
+++ b/src/jobs/follower.rs
@@ -1,7 +1,8 @@
-//! Follows a keyed stream of the log: the newest record of each key first, then what is appended.
+//! Follows a keyed stream of the log: reads the newest record of each key first, then the records
+//! appended since.
 //!
-//! The log drops old records soon. A reader that is behind what is kept starts again from the newest
-//! record of each key, so nothing rests on records being read in time.
+//! The log drops old records soon. A reader that has fallen behind the kept records starts again
+//! from the newest record of each key, so correctness does not depend on reading records in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,38 +15,39 @@
 use crate::jobs::record::{JobRecord, KeyedRecord};
 use crate::jobs::site::OperatorRecord;
 
-/// Wait for a record in one read. A connection that has gone silent shows only when the read's time
-/// is up; a configuration must be in force within 2 s.
+/// Longest wait for a record in one read. A dead connection is noticed only once this time is up,
+/// and a configuration must be in force within 2 s.
 const READ_WAIT: Duration = Duration::from_millis(700);
-/// Pause after a read that failed.
+/// Delay before the next read after a failed one.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Least time between two reads of the job log: each read is paid for, a caller looks at its job a few
-/// times in its life, and the leader learns of jobs by the relay. Only what an entry has appended
-/// itself, since it could not reach the leader, waits for this.
+/// Least time between two reads of the job log. Each read is charged, a caller looks at its job
+/// only a few times, and the leader receives jobs through the relay. Only records that an entry has
+/// appended itself, because it could not reach the leader, are delayed by this.
 const FOLLOW_INTERVAL_MIN: Duration = Duration::from_millis(180);
-/// Time between two looks whether a leader's own appends still show all that is written, or whether this entry is to keep a
-/// copy now.
+/// Time between two checks of whether reading must begin: the leader is no longer the only writer,
+/// or this entry now keeps a replica.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of the time for which a reading counts that the wait of one may take: one in so many.
+/// The wait of one read may take this fraction (1/5) of the time for which a read counts.
 const READ_WAIT_DIVISOR: u64 = 5;
-/// Least time between two reads of what operators wrote.
+/// Least time between two reads of the operators' records.
 const OPERATOR_READ_INTERVAL_MIN: Duration = Duration::from_millis(50);
 
-/// Decodes what operators write; the platform's adapter knows the form.
+/// Decodes a record written by operators; the platform's adapter supplies it. `None` if the record
+/// can't be decoded.
 pub type OperatorDecoder = fn(&KeyedRecord) -> Option<OperatorRecord>;
 
-/// What one read brought.
+/// Result of one read.
 #[derive(Debug)]
 pub enum TailStep {
     /// The newest record of every key.
     Snapshot(Vec<(u64, KeyedRecord)>),
-    /// Records appended since; maybe none.
+    /// Records appended since the last read; may be empty.
     Records(Vec<(u64, KeyedRecord)>),
     /// The log could not be read.
     Failed,
 }
 
-/// Pages of a snapshot that have been read.
+/// Pages read so far of a snapshot.
 #[derive(Debug, Default)]
 struct PartialSnapshot {
     records: Vec<(u64, KeyedRecord)>,
@@ -53,7 +55,7 @@
     after: Option<String>,
 }
 
-/// Reads one keyed stream from where it left off.
+/// Reads one keyed stream, each time from where the last read ended.
 #[derive(Debug)]
 pub struct TailReader {
     topic: LogTopic,
@@ -63,44 +65,45 @@
 }
 
 impl TailReader {
-    /// A reader that begins with a snapshot.
+    /// Creates a reader that begins with a snapshot.
     pub fn new(topic: LogTopic) -> TailReader {
         TailReader { topic, position: None, is_at_end: false, partial: PartialSnapshot::default() }
     }
 
-    /// A reader that goes on from an offset.
+    /// Creates a reader that begins at an offset.
     pub fn at(topic: LogTopic, position: u64) -> TailReader {
         TailReader { position: Some(position), ..TailReader::new(topic) }
     }
 
-    /// Everything before this offset was read.
+    /// Offset before which everything was read.
     pub fn position(&self) -> u64 {
         self.position.unwrap_or(0)
     }
 
-    /// Whether the last read came to the log's end.
+    /// Whether the last read reached the end of the log.
     pub fn is_at_end(&self) -> bool {
         self.is_at_end
     }
 
-    /// Whether it is between two pages of a snapshot.
+    /// Whether some pages of a snapshot were read and others are missing.
     pub fn has_partial_snapshot(&self) -> bool {
         self.partial.end.is_some()
     }
 
-    /// Begins anew with the newest record of each key: what lies between is not needed.
+    /// Makes the next read start from the newest record of each key, skipping the records before.
     pub fn skip_to_newest(&mut self) {
         self.position = None;
     }
 
-    /// Goes on from a later offset: what lies before was read another way.
+    /// Continues at a later offset, because the records before it are known from elsewhere.
     pub fn skip_to(&mut self, position: u64) {
         if let Some(own) = &mut self.position {
             *own = position.max(*own);
         }
     }
 
-    /// Reads on.
+    /// Reads the next records, or a whole snapshot if the position is unknown or its records were
+    /// dropped. Waits up to `wait` for new records.
     pub async fn next<L: JobLog>(&mut self, log: &L, wait: Duration) -> TailStep {
         self.is_at_end = false;
         let Some(position) = self.position else { return self.snapshot(log).await };
@@ -118,16 +121,17 @@
         }
     }
 
-    /// Reads the pages that are missing. A page that fails is asked for again; those before it are
-    /// kept, or a slow link would never get to the last one.
+    /// Reads the missing pages of the snapshot. If one fails, the next call requests it again and
+    /// the pages before it are kept; otherwise a reader on a slow link would never reach the last
+    /// page.
     async fn snapshot<L: JobLog>(&mut self, log: &L) -> TailStep {
         loop {
             let after = self.partial.after.clone();
             let Some(page) = log.newest(self.topic, after.as_deref()).await else {
                 return TailStep::Failed;
             };
-            // Later pages may tell newer records; reading on from the first page's end repeats
-            // some and misses none.
+            // Later pages may hold newer records. Reading on from the end that the first page
+            // reports repeats some records and misses none.
             self.partial.end.get_or_insert(page.end);
             self.partial.after = page.records.last().map(|(_, record)| record.key.clone());
             self.partial.records.extend(page.records);
@@ -141,15 +145,15 @@
     }
 }
 
-/// Follows the job log into the book.
+/// Applies the job log to the replica of this entry.
 pub struct JobFollower<L> {
     /// Shared state.
     pub node: Arc<JobNode>,
     /// The log.
     pub log: L,
-    /// Where the reading is.
+    /// Reader of the job log.
     pub tail: TailReader,
-    /// Number of the copy that it reads for.
+    /// Number of the replica that the reader reads for.
     pub replica_epoch: u64,
 }
 
@@ -165,7 +169,7 @@
             self.replica_epoch = replica_epoch;
             self.tail = TailReader::new(LogTopic::Jobs);
         }
-        // What callers made this entry read, and what it has appended itself.
+        // Past the records read on behalf of callers and those appended by this entry.
         self.tail.skip_to(self.node.applied_offset());
         let asked_ms = self.node.now();
         let tail_step = self.tail.next(&self.log, READ_WAIT).await;
@@ -195,14 +199,15 @@
     }
 }
 
-/// As of when a read that came to the log's end shows it, in milliseconds: when it was asked for, as its answer may have
-/// been on its way since; one without news was given when the wait was over.
+/// Time as of which a read that reached the log's end reflects the log, in milliseconds. That is
+/// the time of the request, as the answer may have been in transit since. An answer without records
+/// was sent when the wait was over.
 pub fn read_as_of_ms(is_empty: bool, asked_ms: u64, wait: Duration, now: u64) -> u64 {
     let waited_ms = if is_empty { crate::clock::millis(wait) } else { 0 };
     now.min(asked_ms + waited_ms)
 }
 
-/// Folds what a step along the job log has brought, up to `position`.
+/// Applies the result of one read of the job log, which ended at `position`.
 pub fn fold_step(node: &JobNode, step: TailStep, position: u64) {
     match step {
         TailStep::Snapshot(records) => node.fold_snapshot(&decode(node, &records), position),
@@ -211,31 +216,32 @@
     }
 }
 
-/// Reads records of the job log; what can't be read is skipped with a line.
+/// Decodes records of the job log. Records that can't be decoded are skipped and logged.
 fn decode(node: &JobNode, records: &[(u64, KeyedRecord)]) -> Vec<(u64, JobRecord)> {
     let mut decoded = Vec::with_capacity(records.len());
     for (offset, record) in records {
         match JobRecord::decode(&record.key, &record.value) {
             Some(record) => decoded.push((*offset, record)),
             None if record.value.is_empty() => {}
-            None => warn!(node.logger, "a record of the job log can't be read";
+            None => warn!(node.logger, "can't decode a record of the job log";
                 "key" => &record.key, "offset" => offset),
         }
     }
     decoded
 }
 
-/// Follows what operators write.
+/// Puts the operators' records in force: configurations and maintenance waves.
 pub struct OperatorFollower<L> {
     /// Shared state.
     pub node: Arc<JobNode>,
     /// The log.
     pub log: L,
-    /// Where the reading is.
+    /// Reader of the operators' records.
     pub tail: TailReader,
-    /// Reads a record.
+    /// Decodes a record.
     pub decoder: OperatorDecoder,
-    /// Whether the newest configuration could not be read: the one in force may honour keys that it revokes.
+    /// Whether the newest configuration could not be decoded. The one in force may then honour API
+    /// keys that the newest one revokes.
     pub has_unreadable_config: bool,
 }
 
@@ -243,7 +249,8 @@
     const NAME: &'static str = "operator follower";
 
     async fn step(&mut self) -> Duration {
-        // By the start of the reading: what operators wrote while its answer was on its way may be missing.
+        // The read counts from its start: records written while its answer was in transit may be
+        // missing.
         let started_ms = self.node.now();
         let wait = self.read_wait(started_ms);
         let (records, is_read_on) = match self.tail.next(&self.log, wait).await {
@@ -255,11 +262,12 @@
         for (offset, record) in &records {
             self.apply(*offset, record);
         }
-        // Pages of a snapshot are read one after the other: only what is read on from there is whole.
+        // The pages of a snapshot are read one after the other, so only a read that continues from
+        // there is known to be complete.
         let is_behind = is_read_on && !self.tail.is_at_end();
         if is_behind {
-            // Each record is a whole configuration: read one after the other on a narrow link, those that are out of
-            // date would keep the one in force from callers for seconds.
+            // Each record is a whole configuration. On a narrow link, reading the outdated ones one
+            // after the other would delay the newest one by seconds.
             self.tail.skip_to_newest();
         }
         let is_confirmed = is_read_on && !is_behind && !self.has_unreadable_config;
@@ -268,7 +276,7 @@
         }
         match (records.is_empty(), is_confirmed) {
             (true, true) => Duration::ZERO,
-            // The next reading would not wait for news either.
+            // The next read would not wait for records either.
             (true, false) => RETRY_DELAY,
             (false, _) => OPERATOR_READ_INTERVAL_MIN,
         }
@@ -276,8 +284,9 @@
 }
 
 impl<L: JobLog> OperatorFollower<L> {
-    /// Wait for news in one reading. An entry whose last reading is old asks without one: until the answer it
-    /// honours no key, or soon will not. Else a reading must be over long before the one before it is too old.
+    /// Time for which a read waits for records. If the last confirming read is old, it does not
+    /// wait: until the answer comes, the entry honours no API key, or soon will not. Otherwise the
+    /// read must be over long before the previous one is too old.
     fn read_wait(&self, now: u64) -> Duration {
         let rule = &self.node.settings.bounds.revocation;
         if !rule.is_strict {
@@ -303,7 +312,7 @@
             }
             Some(OperatorRecord::UnreadableConfig) => {
                 self.has_unreadable_config = true;
-                warn!(self.node.logger, "a configuration can't be read: no key is confirmed by it";
+                warn!(self.node.logger, "can't decode a configuration: it confirms no API key";
                     "offset" => offset, "bytes" => record.value.len());
             }
             Some(OperatorRecord::Wave(wave)) => {
@@ -313,7 +322,7 @@
                 self.node.add_wave(wave);
             }
             None if record.value.is_empty() => {}
-            None => warn!(self.node.logger, "an operator's record can't be read";
+            None => warn!(self.node.logger, "can't decode an operator's record";
                 "key" => &record.key, "offset" => offset),
         }
     }
--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -1,4 +1,8 @@
-//! What the parts of one entry share on the job side.
+//! State that the loops and listeners of one entry share on the job side.
+//!
+//! [`JobNode`] holds the configuration in force, the replica of the job log, the leader's address,
+//! the scheduler while this entry leads, and the times by which it judges whether the log and the
+//! leader still answer.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,63 +23,66 @@
 use crate::jobs::site::{MaintenanceWave, SiteConfig, SiteSettings};
 use crate::scheduler::Scheduler;
 
-/// Age of the last answer of the log, in milliseconds, from which an entry is not ready: the others
-/// of its data centre may still advance_to it.
+/// Age of the log's last answer from which an entry is not ready, in milliseconds: other entries of
+/// its data centre may still reach the log.
 const LOG_ANSWER_AGE_MAX_MS: u64 = 2_500;
 
-/// Time without a renewal after which a leader counts as silent, in milliseconds: two renewals.
+/// Time without a renewal after which the leader counts as silent, in milliseconds: two renewal
+/// intervals.
 const LEADER_TIMEOUT_MS: u64 = 900;
-/// Silence after which the log counts as away, in milliseconds: the followers' reads are answered at
-/// least every 700 ms, a slow log's 300 ms later.
+/// Time without an answer after which the log counts as unreachable, in milliseconds. The
+/// followers' reads are answered at least every 700 ms, and up to 300 ms later if the log is slow.
 const LOG_TIMEOUT_MS: u64 = 1_200;
-/// Age from which the book is not counted from, in milliseconds: callers are promised a count that is 2 s old
-/// at most, and the followers come to the log's end every 900 ms where they keep up.
+/// Age from which jobs are no longer counted from the replica, in milliseconds. Callers are
+/// promised a count that is at most 2 s old, and followers that keep up reach the log's end every
+/// 900 ms.
 const CURRENT_AGE_MAX_MS: u64 = 1_600;
-/// Time for which an append of our own shows that nobody else writes, in milliseconds: what others append
-/// meanwhile shows at the next one, as that does not follow on what the book has.
+/// Time for which an append of this entry shows that no other entry writes, in milliseconds. If
+/// another one has appended meanwhile, the next own append leaves a gap after the applied offset.
 const OWN_APPEND_AGE_MAX_MS: u64 = 600;
-/// Time for which it counts that another entry was found to read the log, in milliseconds: two questions.
+/// Time for which the finding that another entry reads the log is valid, in milliseconds: two
+/// queries.
 const PEER_READ_AGE_MAX_MS: u64 = 1_500;
-/// Time for which it counts that the leader's address was found closed, in milliseconds: longer than
-/// the silence after which it is acted on.
+/// Time for which the finding that the leader's address is closed is valid, in milliseconds: longer
+/// than the renewal timeout that then applies.
 const CLOSED_AGE_MAX_MS: u64 = 2_000;
 
-/// State shared by the loops of one entry.
+/// State shared by the loops and listeners of one entry.
 pub struct JobNode {
     /// Settings of the process.
     pub settings: SiteSettings,
-    /// Its clock.
+    /// Clock of the process.
     pub clock: ProcessClock,
     /// Counters and histograms.
     pub metrics: Arc<JobMetrics>,
-    /// Log lines.
+    /// Logger of the process.
     pub logger: Logger,
     /// Wakes the leader's loop.
     pub wake: Notify,
-    /// Drawn at the start of the process.
+    /// Random number drawn at the start of the process.
     pub incarnation: u64,
     executors: Mutex<ExecutorTable>,
     planner: Mutex<ReplicaPlanner>,
     replicas: ArcSwap<ReplicaList>,
-    /// Whether this entry is to keep a copy of the job log.
+    /// Whether this entry keeps a replica of the job log, whole or not yet.
     is_replica: AtomicBool,
-    /// Number of the present copy; a reading for an earlier one is void.
+    /// Number of the present replica; reads for an earlier one are discarded.
     replica_epoch: AtomicU64,
     append_ms: AtomicU64,
     leader_seen_ms: AtomicU64,
     config: ArcSwapOption<SiteConfig>,
-    /// When the newest reading began that showed the configuration in force to be the newest, plus one; 0 for
-    /// none.
+    /// Start of the latest read that confirmed the configuration in force to be the newest, plus
+    /// one; 0 for none.
     config_confirmed_ms: AtomicU64,
-    /// Other entries that can be asked how old their reading is.
+    /// Other entries that can be asked to confirm the configuration.
     peers: ArcSwap<Vec<SocketAddr>>,
     peer_read_log_ms: AtomicU64,
     job_table: Mutex<JobTable>,
     applied_offset: AtomicU64,
-    /// Appends of our own beyond the book's end, by their offset, and their ends.
+    /// Ends of this entry's appends beyond the applied offset, by the offset where each begins.
     own_ranges: Mutex<BTreeMap<u64, u64>>,
     own_append_ms: AtomicU64,
-    /// When the job log held no more than the book has, in milliseconds.
+    /// Time as of which the replica held the whole job log, in milliseconds.
     jobs_read_ms: AtomicU64,
     is_loaded: AtomicBool,
     waves: Mutex<BTreeMap<u64, MaintenanceWave>>,
@@ -91,7 +98,7 @@
 }
 
 impl JobNode {
-    /// An entry that knows nothing yet.
+    /// Creates the state of an entry that has read nothing yet.
     pub fn new(settings: SiteSettings, metrics: Arc<JobMetrics>, logger: Logger) -> JobNode {
         JobNode {
             settings,
@@ -130,17 +137,18 @@
         }
     }
 
-    /// Milliseconds of the steady clock.
+    /// Time of the steady clock, in milliseconds.
     pub fn now(&self) -> u64 {
         self.clock.steady_ms()
     }
 
-    /// Configuration in force, once one was read.
+    /// Configuration in force; `None` until one is read.
     pub fn config(&self) -> Option<Arc<SiteConfig>> {
         self.config.load_full()
     }
 
-    /// Takes a configuration; an older one than that in force is ignored, as reads may overlap.
+    /// Puts a configuration in force. Reads may overlap, so one that is not newer than the one in
+    /// force is ignored. Returns whether it was newer.
     pub fn set_config(&self, config: SiteConfig) -> bool {
         let is_newer = self.config().is_none_or(|own| own.version < config.version);
         if is_newer {
@@ -152,27 +160,27 @@
         is_newer
     }
 
-    /// A reading that began at `began_ms` has come to the end of what operators wrote, and all of it is in
-    /// force here.
+    /// Records that a read that began at `began_ms` reached the end of the operators' records, and
+    /// that all of them are in force here.
     pub fn record_config_read(&self, began_ms: u64) {
         self.config_confirmed_ms.fetch_max(began_ms + 1, Ordering::AcqRel);
     }
 
-    /// When the newest such reading began, in milliseconds.
+    /// Start of the latest read that confirmed the configuration, in milliseconds.
     pub fn config_confirmed_ms(&self) -> Option<u64> {
         self.config_confirmed_ms.load(Ordering::Acquire).checked_sub(1)
     }
 
-    /// Age of the newest such reading, in milliseconds.
+    /// Time since the start of that read, in milliseconds.
     pub fn config_age_ms(&self) -> Option<u64> {
         let confirmed = self.config_confirmed_ms()?;
         Some(self.now().saturating_sub(confirmed))
     }
 
-    /// The configuration by which keys may be honoured now; nothing if none may be.
+    /// The configuration by which API keys may be honoured now; `None` if no key may be.
     ///
-    /// The reading is looked at first: what it has shown was in force before it counted, so the configuration
-    /// that is loaded after it is as new or newer.
+    /// The time of the read is loaded first. The configuration that it confirmed was in force
+    /// before the read was recorded, so the configuration loaded afterwards is as new or newer.
     pub fn honoured_config(&self) -> Option<Arc<SiteConfig>> {
         let confirmed = self.config_confirmed_ms();
         let rule = &self.settings.bounds.revocation;
@@ -182,28 +190,28 @@
         self.config()
     }
 
-    /// Other entries that can be asked how old their reading is.
+    /// Other entries that can be asked to confirm the configuration.
     pub fn peers(&self) -> Arc<Vec<SocketAddr>> {
         self.peers.load_full()
     }
 
-    /// Takes the addresses of other entries.
+    /// Replaces the addresses of other entries; this entry's own address is left out.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         let own = self.settings.peer;
         self.peers.store(Arc::new(peers.into_iter().filter(|peer| *peer != own).collect()));
     }
 
-    /// Entries that carry out starts for this one while it leads.
+    /// Entries that execute starts on behalf of this one while it leads.
     pub fn executors(&self) -> MutexGuard<'_, ExecutorTable> {
         self.executors.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Who keeps a copy of the job log, as this entry plans it while it leads.
+    /// Plan of the entries that keep a replica of the job log, used while this entry leads.
     pub fn planner(&self) -> MutexGuard<'_, ReplicaPlanner> {
         self.planner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Plans who keeps a copy of the job log; this entry, which leads, is among them.
+    /// Plans which entries keep a replica of the job log; this entry, which leads, is one of them.
     pub fn plan_replicas(&self) -> ReplicaList {
         let own = ExecutorOffer { claim_delay_ms: 0, ..self.offer() };
         let now = self.now();
@@ -212,7 +220,7 @@
         planner.plan(now).clone()
     }
 
-    /// What this entry offers to the leader.
+    /// This entry's offer to execute starts for the leader.
     pub fn offer(&self) -> ExecutorOffer {
         let settings = &self.settings;
         ExecutorOffer {
@@ -226,12 +234,13 @@
         }
     }
 
-    /// Entries that keep a copy of the job log.
+    /// Entries that keep a replica of the job log.
     pub fn replicas(&self) -> Arc<ReplicaList> {
         self.replicas.load_full()
     }
 
-    /// Takes who keeps a copy of the job log, and whether this entry does.
+    /// Sets which entries keep a replica of the job log, and whether this entry is one of them. If
+    /// it no longer is, its replica is dropped.
     pub fn set_replicas(&self, replicas: &ReplicaList, is_replica: bool) {
         if **self.replicas.load() != *replicas {
             self.replicas.store(Arc::new(replicas.clone()));
@@ -241,44 +250,47 @@
         }
     }
 
-    /// Whether this entry is to keep a copy of the job log.
+    /// Whether this entry keeps a replica of the job log, whole or not yet.
     pub fn is_replica(&self) -> bool {
         self.is_replica.load(Ordering::Acquire)
     }
 
-    /// Whether its copy is whole, if not always up to date.
+    /// Whether this entry's replica is whole, though it may lag behind the log.
     pub fn has_replica(&self) -> bool {
         self.is_replica() && self.is_loaded.load(Ordering::Acquire)
     }
 
-    /// Whether what is asked of this entry's jobs is for others to answer: it is not to keep a copy, and knows who does.
-    /// One that is still reading its copy answers by that: where all restart at once, none has anything to tell the others.
+    /// Whether queries about jobs go to other entries: this one keeps no replica and knows who
+    /// does. An entry that is still reading its replica answers from it, because when all entries
+    /// restart at once, none has an answer for the others.
     pub fn asks_replicas(&self) -> bool {
         !self.is_replica() && !self.replicas.load().is_empty()
     }
 
-    /// Takes the time that the log takes for an append, and when a leader was last seen, in milliseconds.
+    /// Sets the time that the log takes for an append, and when a leader was last seen, both in
+    /// milliseconds.
     pub fn set_append_ms(&self, append_ms: u64, leader_seen_ms: Option<u64>) {
         self.append_ms.store(append_ms, Ordering::Relaxed);
         self.leader_seen_ms.store(leader_seen_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
-    /// Whether no leader was seen for so long that it is likely gone. One that is only slow may stay so.
+    /// Whether no leader was seen for so long that it is probably gone. A leader that is merely
+    /// slow, and may remain so, does not count as silent.
     pub fn is_leader_silent(&self) -> bool {
         self.now() > self.leader_seen_ms.load(Ordering::Relaxed) + LEADER_TIMEOUT_MS
     }
 
-    /// Time that appends would stand in line if each entry made one of its own, in milliseconds.
+    /// Queueing delay of appends if each entry made one of its own, in milliseconds.
     pub fn own_queue_delay_ms(&self) -> u64 {
         u64::from(self.replicas.load().entries) * self.append_ms.load(Ordering::Relaxed)
     }
 
-    /// Number of the present copy of the job log.
+    /// Number of the present replica of the job log; it grows when a replica is dropped.
     pub fn replica_epoch(&self) -> u64 {
         self.replica_epoch.load(Ordering::Acquire)
     }
 
-    /// Forgets the copy of the job log. What is being read for it is not folded any more.
+    /// Drops the replica of the job log. Reads in flight for it are no longer applied.
     fn drop_replica(&self) {
         let mut table = self.job_table();
         self.replica_epoch.fetch_add(1, Ordering::AcqRel);
@@ -290,18 +302,19 @@
         *table = JobTable::default();
     }
 
-    /// The job book.
+    /// The jobs known from the log.
     pub fn job_table(&self) -> MutexGuard<'_, JobTable> {
         self.job_table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Folds the newest record of each key, as they were when the log ended at `end` or later.
+    /// Applies a snapshot: the newest record of each key, as of when the log ended at `end` or
+    /// later.
     ///
-    /// What this entry had stored through the leader meanwhile, at an offset that it does not know, is among them
-    /// or is read on from `end`.
+    /// Records that the leader stored for this entry meanwhile, at offsets unknown here, are either
+    /// in the snapshot or among the records read from `end` on.
     pub fn fold_snapshot(&self, records: &[(u64, JobRecord)], end: u64) {
         let mut table = self.job_table();
-        // Another reader has come further: a job that it saw being dropped must not come back.
+        // Another reader has got further: a job whose drop it has read must not come back.
         if self.applied_offset() >= end {
             return;
         }
@@ -309,15 +322,16 @@
         table.note_finished(&new, self.now());
         self.advance_to(end);
         table.forget_drops(self.applied_offset());
-        // Before anybody else finds the book as far: by that the view of the jobs counts as new.
+        // While the table is locked: once others see the applied offset, the scheduler's view of
+        // the jobs counts as up to date.
         self.apply_to_scheduler(&new);
     }
 
-    /// Folds what was read from an offset that the book had reached up to `next`.
+    /// Applies records that were read up to `next`, from an offset that had been applied already.
     ///
-    /// Reads overlap: of two that began at the same offset, the one that is answered later may have
-    /// seen less. What the book has already is passed over; folded again, an old record would undo a
-    /// newer one, such as the dropping of a job, which would then run once more.
+    /// Reads overlap: of two that began at the same offset, the one answered later may contain
+    /// fewer records. Records before the applied offset are skipped. Applied again, an old record
+    /// would undo a newer one, such as the drop of a job, and the job would run once more.
     pub fn fold_read(&self, records: Vec<(u64, JobRecord)>, next: u64) {
         let mut table = self.job_table();
         let end = self.applied_offset();
@@ -329,17 +343,18 @@
         table.note_finished(&new, self.now());
         self.advance_to(next);
         table.forget_drops(self.applied_offset());
-        // Before anybody else finds the book as far: by that the view of the jobs counts as new.
+        // While the table is locked: once others see the applied offset, the scheduler's view of
+        // the jobs counts as up to date.
         self.apply_to_scheduler(&new);
     }
 
-    /// Folds what this entry has appended at `offset`; the scheduler knows it.
+    /// Applies records that this entry has appended at `offset`; the scheduler knows them already.
     ///
-    /// It need not be read back, also where records of others lie before it: the book reaches on over it as
-    /// soon as those were read. A leader that reads back what it writes spends half of what comes in on a
-    /// link of 2 Mbit/s on it.
+    /// They need not be read back, even if records of other entries precede them: the applied
+    /// offset moves past them as soon as those are read. Reading back its own records would take a
+    /// leader half of the incoming capacity of a 2 Mbit/s link.
     ///
-    /// Returns whether the book has all that the log held before them.
+    /// Returns whether everything that the log held before them is applied.
     pub fn fold_appended(&self, records: &[JobRecord], offset: u64, end: u64) -> bool {
         let mut table = self.job_table();
         let own: Vec<(u64, JobRecord)> = (offset..).zip(records.iter().cloned()).collect();
@@ -358,19 +373,20 @@
         is_whole
     }
 
-    /// The book has all that the job log held at `shown_ms`, and the scheduler has been told of it.
+    /// Records that everything the job log held at `as_of_ms`, in milliseconds, is applied here and
+    /// known to the scheduler.
     pub fn record_jobs_read(&self, as_of_ms: u64) {
         self.jobs_read_ms.fetch_max(as_of_ms, Ordering::AcqRel);
         self.with_scheduler(|scheduler| scheduler.jobs_read(as_of_ms));
     }
 
-    /// When the job log last held no more than the book has, in milliseconds.
+    /// Latest time as of which the replica held the whole job log, in milliseconds.
     pub fn jobs_read_ms(&self) -> u64 {
         self.jobs_read_ms.load(Ordering::Acquire)
     }
 
-    /// The book has all before `end`, and what this entry has appended from there on; returns whether that
-    /// leaves nothing of our own beyond it.
+    /// Moves the applied offset to `end` and past own appends that follow it without a gap. Returns
+    /// whether no own append is left beyond it.
     fn advance_to(&self, end: u64) -> bool {
         let mut ranges = self.own_ranges();
         let mut reached = self.applied_offset.fetch_max(end, Ordering::AcqRel).max(end);
@@ -385,15 +401,16 @@
         self.own_ranges.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this entry leads and its own appends show that nobody else writes: one is folded a moment ago
-    /// that followed on what the book has.
+    /// Whether this entry leads and its own appends show that no other entry writes: one was
+    /// applied a moment ago that left no gap after the applied offset.
     pub fn is_sole_writer(&self) -> bool {
         let own = self.own_append_ms.load(Ordering::Acquire);
         own > 0 && self.now() < own + OWN_APPEND_AGE_MAX_MS && self.with_scheduler(|_| ()).is_some()
     }
 
-    /// Folds records of callers that are on the log, wherever that is. Without a copy of the log nothing would ever
-    /// tell what becomes of them.
+    /// Applies callers' records that are stored in the log at an unknown offset. An entry without a
+    /// replica only passes them to the scheduler, since it would never read the jobs' later
+    /// records.
     pub fn fold(&self, records: &[(u64, JobRecord)]) {
         if self.is_replica() {
             let mut table = self.job_table();
@@ -415,23 +432,23 @@
         self.wake.notify_one();
     }
 
-    /// The book holds the newest record of each key: this entry may lead.
+    /// Marks the replica as whole: it holds the newest record of each key, so this entry may lead.
     pub fn set_loaded(&self) {
         self.is_loaded.store(true, Ordering::Release);
     }
 
-    /// Whether this entry could lead at once: one that must read the whole log first would keep the
-    /// leadership from those that need not.
+    /// Whether this entry could lead at once. One that must read the whole log first would keep the
+    /// leadership from entries that need not.
     pub fn may_lead(&self) -> bool {
         self.is_loaded.load(Ordering::Acquire) && self.config().is_some()
     }
 
-    /// Offset up to which the book tells everything.
+    /// Offset before which all records of the job log are applied.
     pub fn applied_offset(&self) -> u64 {
         self.applied_offset.load(Ordering::Acquire)
     }
 
-    /// Takes a wave.
+    /// Adds a maintenance wave, or replaces the one of the same number.
     pub fn add_wave(&self, wave: MaintenanceWave) {
         let done = self.job_table().maintained(wave.number);
         let now = self.now();
@@ -439,46 +456,47 @@
         self.with_scheduler(|scheduler| scheduler.add_wave(wave, done, now));
     }
 
-    /// Every wave that was read.
+    /// All maintenance waves that were read, by number.
     pub fn waves(&self) -> MutexGuard<'_, BTreeMap<u64, MaintenanceWave>> {
         self.waves.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `edit` on the scheduler if this entry leads.
+    /// Runs `edit` on the scheduler if this entry leads; `None` if it does not.
     pub fn with_scheduler<R>(&self, edit: impl FnOnce(&mut Scheduler) -> R) -> Option<R> {
         let mut scheduler = self.scheduler.lock().unwrap_or_else(PoisonError::into_inner);
         scheduler.as_mut().map(edit)
     }
 
-    /// Where the leader is reached, if it is another entry.
+    /// Address of the leader, if it is another entry.
     pub fn leader(&self) -> Option<SocketAddr> {
         self.leader.load().as_ref().map(|address| **address)
     }
 
-    /// The leader's address was found closed.
+    /// Records that the leader's address was found closed.
     pub fn record_leader_closed(&self) {
         self.leader_closed_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
-    /// Whether the leader's address was found closed lately.
+    /// Whether the leader's address was found closed a short time ago.
     pub fn is_leader_closed(&self) -> bool {
         let closed = self.leader_closed_ms.load(Ordering::Relaxed);
         closed > 0 && self.now() < closed + CLOSED_AGE_MAX_MS
     }
 
-    /// Takes the leader's address from the leadership stream.
+    /// Sets the leader's address; `None` if no leader is known.
     pub fn set_leader(&self, address: Option<SocketAddr>) {
         let other = address.filter(|address| *address != self.settings.peer);
         self.leader.store(other.map(Arc::new));
     }
 
-    /// Hands records to the scheduler if this entry leads. The receiver hears when the log has them;
-    /// if it hears nothing, the leadership ended first and they may be on the log or not.
+    /// Hands records to the scheduler if this entry leads; `None` if it does not. The receiver
+    /// completes once they are stored in the log. If the sender is dropped instead, the leadership
+    /// has ended and they may be stored or not.
     pub fn relay(&self, records: Vec<JobRecord>) -> Option<oneshot::Receiver<()>> {
         let token = self.next_token.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         let now = self.now();
-        // In place before the scheduler knows the token, so that no commit can come first.
+        // Inserted before the scheduler knows the token, so that no commit can come first.
         self.relay_waiters().insert(token, sender);
         let is_taken = self.with_scheduler(|scheduler| {
             let leads = !scheduler.is_deposed();
@@ -495,11 +513,11 @@
         Some(receiver)
     }
 
-    /// Tells those that relayed these batches that the log has them.
+    /// Notifies the waiters of these batches that the log has stored them.
     pub fn complete_relays(&self, tokens: &[u64]) {
         let mut relay_waiters = self.relay_waiters();
         for sender in tokens.iter().filter_map(|token| relay_waiters.remove(token)) {
-            // One that went away meanwhile needs no answer.
+            // A waiter that is gone needs no answer.
             let _ = sender.send(());
         }
     }
@@ -508,7 +526,7 @@
         self.relay_waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins or ends leading.
+    /// Sets the scheduler when this entry starts to lead, and removes it when it stops.
     pub fn set_scheduler(&self, scheduler: Option<Scheduler>) {
         if scheduler.is_none() {
             self.relay_waiters().clear();
@@ -516,12 +534,12 @@
         *self.scheduler.lock().unwrap_or_else(PoisonError::into_inner) = scheduler;
     }
 
-    /// The log has answered.
+    /// Records that the log has answered a call of this entry.
     pub fn record_log_answer(&self) {
         self.log_answer_ms.store(self.now().max(1), Ordering::Release);
     }
 
-    /// Time since the log last answered, in milliseconds; nothing if it never did.
+    /// Time since the log last answered, in milliseconds; `None` if it never did.
     pub fn log_age_ms(&self) -> Option<u64> {
         match self.log_answer_ms.load(Ordering::Acquire) {
             0 => None,
@@ -529,31 +547,33 @@
         }
     }
 
-    /// The book has all that the log had when it was last read.
+    /// Records that the replica holds everything that the log held when it was last read.
     pub fn set_current(&self) {
         self.current_ms.store(self.now().max(1), Ordering::Release);
     }
 
-    /// Whether the book tells what the log held a moment ago. One that is being read after a restart, or is
-    /// further behind with each read, would tell callers of a tenth of the jobs that wait.
+    /// Whether the replica holds what the log held a moment ago. One that is being read after a
+    /// restart, or that falls further behind with each read, could count a tenth of the waiting
+    /// jobs.
     pub fn is_current(&self) -> bool {
         let current = self.current_ms.load(Ordering::Acquire);
         current > 0 && self.now() < current + CURRENT_AGE_MAX_MS
     }
 
-    /// Whether to offer this entry to the leader.
+    /// Whether this entry may offer itself to the leader.
     pub fn may_offer(&self) -> bool {
         !self.is_stopping() && self.config().is_some()
     }
 
-    /// A record of a caller has reached the log, by whatever way, or the leader has shown that it would store one.
+    /// Records that a caller's record has reached the log, directly or through the leader, or that
+    /// the leader has shown that it would store one.
     pub fn record_store(&self) {
         self.last_store_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
-    /// Whether nothing reaches the log from here: it does not answer, nor does the leader store for
-    /// us. A caller is then refused at once, while it still has time to try another entry; waiting
-    /// would only show the same a second later.
+    /// Whether nothing reaches the log from here: neither does it answer, nor does the leader store
+    /// records for this entry. Callers are then refused at once, while they still have time to try
+    /// another entry; a second of waiting would not change the result.
     pub fn is_log_unreachable(&self) -> bool {
         let stored = self.last_store_ms.load(Ordering::Relaxed);
         let last = stored.max(self.log_answer_ms.load(Ordering::Acquire));
@@ -565,18 +585,18 @@
         self.now() > self.log_answer_ms.load(Ordering::Acquire) + LOG_TIMEOUT_MS
     }
 
-    /// Another entry reads the log, and this one can't.
+    /// Records that another entry reads the log while this one can't.
     pub fn record_log_read_by_peer(&self) {
         self.peer_read_log_ms.store(self.now().max(1), Ordering::Relaxed);
     }
 
-    /// Whether the log is silent here, and others were found a moment ago to read it.
+    /// Whether the log does not answer this entry, while another was found a moment ago to read it.
     pub fn is_cut_off_from_log(&self) -> bool {
         let read = self.peer_read_log_ms.load(Ordering::Relaxed);
         read > 0 && self.now() < read + PEER_READ_AGE_MAX_MS && self.is_log_silent()
     }
 
-    /// Stops being ready.
+    /// Begins the stop: from now on the entry is not ready.
     pub fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Release);
     }
@@ -586,14 +606,14 @@
         self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the entry is ready for callers.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping()
             && self.config().is_some()
             && self.log_age_ms().is_some_and(|age| age < LOG_ANSWER_AGE_MAX_MS)
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges of the metrics.
     pub fn update_gauges(&self) {
         let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         let size = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
