--- a/src/jobs/node.rs
+++ b/src/jobs/node.rs
@@ -352,7 +352,7 @@
     ///
     /// They need not be read back, even if records of other entries precede them: the applied
     /// offset moves past them as soon as those are read. Reading back its own records would take a
-    /// leader half of the incoming capacity of a 2 Mbit/s link.
+    /// leader half of the incoming traffic on a 2 Mbit/s link.
     ///
     /// Returns whether everything that the log held before them is applied.
     pub fn fold_appended(&self, records: &[JobRecord], offset: u64, end: u64) -> bool {
@@ -408,7 +408,7 @@
         own > 0 && self.now() < own + OWN_APPEND_AGE_MAX_MS && self.with_scheduler(|_| ()).is_some()
     }
 
-    /// Applies callers' records that are stored in the log at an unknown offset. An entry without a
+    /// Applies callers' records that are stored in the log, at whatever offset. An entry without a
     /// replica only passes them to the scheduler, since it would never read the jobs' later
     /// records.
     pub fn fold(&self, records: &[(u64, JobRecord)]) {
