--- a/tests/behind_log.rs
+++ b/tests/behind_log.rs
@@ -38,7 +38,7 @@
 }
 
 /// An entry that has read these records from the start of the log.
-fn behind(records: Vec<JobRecord>) -> Arc<JobNode> {
+fn lagging_node(records: Vec<JobRecord>) -> Arc<JobNode> {
     let node = idle_node();
     let end = records.len() as u64;
     node.fold_read((0..).zip(records).collect(), end);
@@ -46,7 +46,7 @@
 }
 
 /// Takes in all pages.
-fn renew(node: &JobNode, newest: &[(u64, JobRecord)]) {
+fn apply_snapshot(node: &JobNode, newest: &[(u64, JobRecord)]) {
     let encode = |(offset, record): &(u64, JobRecord)| (*offset, record.encode().expect("kept"));
     fold_step(node, TailStep::Snapshot(newest.iter().map(encode).collect()), END);
 }
@@ -79,16 +79,16 @@
     JobRecord::Dropped(job_id(id))
 }
 
-fn read_on(node: &JobNode, records: Vec<(u64, JobRecord)>, next: u64) {
+fn apply_read(node: &JobNode, records: Vec<(u64, JobRecord)>, next: u64) {
     node.fold_read(records, next);
 }
 
 /// Guards against a job that runs again at the next leader: it was over and dropped while that entry was behind.
 #[test]
 fn a_job_that_was_dropped_meanwhile_is_gone() {
-    let node = behind(vec![submitted(1), submitted(2)]);
+    let node = lagging_node(vec![submitted(1), submitted(2)]);
     assert_eq!((waiting(&node), open_jobs(&node)), (2, 2));
-    renew(&node, &[(1, submitted(2))]);
+    apply_snapshot(&node, &[(1, submitted(2))]);
     assert_eq!((state(&node, 1), state(&node, 2)), (None, Some(JobState::Queued)));
     assert_eq!((waiting(&node), open_jobs(&node)), (1, 1));
     assert_eq!(node.applied_offset(), END);
@@ -96,20 +96,20 @@
 
 /// Guards against a new job that is taken for the one of the same id that was dropped meanwhile.
 #[test]
-fn a_job_that_was_dropped_and_handed_in_again_is_new() {
-    let node = behind(vec![submitted(1), JobRecord::Cancelled(job_id(1)), completed(1)]);
-    renew(&node, &[(290, submitted(1))]);
+fn a_job_that_was_dropped_and_submitted_again_is_new() {
+    let node = lagging_node(vec![submitted(1), JobRecord::Cancelled(job_id(1)), completed(1)]);
+    apply_snapshot(&node, &[(290, submitted(1))]);
     assert_eq!(state(&node, 1), Some(JobState::Queued));
     assert_eq!(waiting(&node), 1);
 }
 
 /// Guards against what is on the log that is lost with what is not.
 #[test]
-fn what_the_log_keeps_stays() {
+fn records_that_the_log_keeps_are_kept() {
     let wave = |names: &[&str]| {
         JobRecord::Wave(1, Arc::new(names.iter().map(|name| Arc::from(*name)).collect()))
     };
-    let node = behind(vec![submitted(1), submitted(2), wave(&["a"])]);
+    let node = lagging_node(vec![submitted(1), submitted(2), wave(&["a"])]);
     let newest = [
         (250, completed(2)),
         (0, submitted(1)),
@@ -117,7 +117,7 @@
         (260, wave(&["a", "b"])),
         (270, JobRecord::Cancelled(job_id(1))),
     ];
-    renew(&node, &newest);
+    apply_snapshot(&node, &newest);
     assert_eq!(state(&node, 1), Some(JobState::Cancelled));
     assert_eq!(state(&node, 2), Some(JobState::Completed));
     assert_eq!(node.job_table().maintained(1).len(), 2);
@@ -125,10 +125,10 @@
 
 /// Guards against a job that its entry forgets, as it was stored after the page that it would stand on was made.
 #[test]
-fn what_this_entry_appends_between_two_pages_stays() {
-    let node = behind(vec![submitted(1), submitted(2)]);
+fn records_that_this_entry_appends_between_two_pages_are_kept() {
+    let node = lagging_node(vec![submitted(1), submitted(2)]);
     node.fold(&[(310, submitted(3)), (311, JobRecord::Cancelled(job_id(2)))]);
-    renew(&node, &[(0, submitted(1)), (1, submitted(2))]);
+    apply_snapshot(&node, &[(0, submitted(1)), (1, submitted(2))]);
     assert_eq!(state(&node, 2), Some(JobState::Cancelled));
     assert_eq!(state(&node, 3), Some(JobState::Queued));
 }
@@ -136,13 +136,13 @@
 /// Guards against a job that is lost to its entry, as the leader stored it and its offset is not known: it is on a
 /// page, or it is read on.
 #[test]
-fn what_the_leader_stores_between_two_pages_is_read_on() {
-    let node = behind(vec![submitted(1)]);
+fn records_that_the_leader_stores_between_two_pages_are_read_later() {
+    let node = lagging_node(vec![submitted(1)]);
     node.fold(&[(0, submitted(2)), (1, submitted(3)), (2, JobRecord::Cancelled(job_id(1)))]);
-    renew(&node, &[(0, submitted(1)), (299, submitted(2))]);
+    apply_snapshot(&node, &[(0, submitted(1)), (299, submitted(2))]);
     assert_eq!(state(&node, 2), Some(JobState::Queued));
     let records = vec![(END, submitted(3)), (END + 1, JobRecord::Cancelled(job_id(1)))];
-    read_on(&node, records, END + 2);
+    apply_read(&node, records, END + 2);
     assert_eq!(state(&node, 1), Some(JobState::Cancelled));
     assert_eq!(state(&node, 3), Some(JobState::Queued));
     assert_eq!(waiting(&node), 2);
@@ -150,68 +150,68 @@
 
 /// Guards against runs that a leader forgets, as it wrote them after the page of their job was made.
 #[test]
-fn what_a_leader_writes_between_two_pages_stays() {
-    let node = behind(vec![submitted(1), submitted(2)]);
+fn records_that_a_leader_writes_between_two_pages_are_kept() {
+    let node = lagging_node(vec![submitted(1), submitted(2)]);
     lead(&node);
     node.fold_appended(&[completed(1), submitted(3)], 305, 307);
     // Once more as the caller's entry, that knows no offset.
     let unseen = JobRecord::CancelledBy(job_id(4), OrganisationDigest::of(None));
     node.fold_appended(std::slice::from_ref(&unseen), 307, 308);
     node.fold(&[(0, submitted(3)), (0, unseen)]);
-    renew(&node, &[(0, submitted(1)), (1, submitted(2))]);
+    apply_snapshot(&node, &[(0, submitted(1)), (1, submitted(2))]);
     assert_eq!(state(&node, 1), Some(JobState::Completed));
     assert_eq!(state(&node, 2), Some(JobState::Queued));
     assert_eq!(state(&node, 3), Some(JobState::Queued));
     // What others wrote before it is read, and then it need not be.
-    read_on(&node, Vec::new(), 305);
+    apply_read(&node, Vec::new(), 305);
     assert_eq!(node.applied_offset(), 308);
-    read_on(&node, vec![(308, submitted(4))], 309);
+    apply_read(&node, vec![(308, submitted(4))], 309);
     assert_eq!(state(&node, 4), Some(JobState::Cancelled));
 }
 
 /// Guards against a job that comes back with a page from before its drop, which is read on from the first page's end.
 #[test]
-fn a_job_that_is_dropped_between_two_pages_goes_when_that_is_read() {
-    let node = behind(vec![submitted(1)]);
-    renew(&node, &[(0, submitted(1)), (298, submitted(2))]);
-    read_on(&node, vec![(302, dropped(1)), (305, dropped(2))], 306);
+fn a_job_that_is_dropped_between_two_pages_goes_when_the_drop_is_read() {
+    let node = lagging_node(vec![submitted(1)]);
+    apply_snapshot(&node, &[(0, submitted(1)), (298, submitted(2))]);
+    apply_read(&node, vec![(302, dropped(1)), (305, dropped(2))], 306);
     assert_eq!((state(&node, 1), state(&node, 2), waiting(&node)), (None, None, 0));
 }
 
 /// Guards against a job that comes back with a page from before a leader's own drop of it, which it does not read.
 #[test]
 fn a_job_that_this_entry_drops_between_two_pages_stays_gone() {
-    let node = behind(vec![submitted(1)]);
+    let node = lagging_node(vec![submitted(1)]);
     lead(&node);
     node.fold_appended(&[dropped(1)], 302, 305);
-    renew(&node, &[(0, submitted(1))]);
+    apply_snapshot(&node, &[(0, submitted(1))]);
     assert_eq!((state(&node, 1), waiting(&node)), (None, 0));
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(0));
-    read_on(&node, Vec::new(), 302);
+    apply_read(&node, Vec::new(), 302);
     assert_eq!(node.applied_offset(), 305);
     // The same id later is another job.
-    read_on(&node, vec![(305, submitted(1))], 306);
+    apply_read(&node, vec![(305, submitted(1))], 306);
     assert_eq!(state(&node, 1), Some(JobState::Queued));
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(1));
 }
 
 /// Guards against a job that comes back with pages that are older than what another reader has read meanwhile.
 #[test]
-fn pages_that_are_older_than_the_book_change_nothing() {
-    let node = behind(vec![submitted(1)]);
-    read_on(&node, vec![(350, dropped(1)), (351, submitted(2))], 400);
-    renew(&node, &[(0, submitted(1))]);
+fn a_snapshot_older_than_the_applied_offset_changes_nothing() {
+    let node = lagging_node(vec![submitted(1)]);
+    apply_read(&node, vec![(350, dropped(1)), (351, submitted(2))], 400);
+    apply_snapshot(&node, &[(0, submitted(1))]);
     assert_eq!((state(&node, 1), state(&node, 2)), (None, Some(JobState::Queued)));
     assert_eq!((node.applied_offset(), waiting(&node)), (400, 1));
 }
 
 /// Guards against a job that is counted or told to the leader twice, as a late page has it and it is read on.
 #[test]
-fn what_a_late_page_has_already_is_read_on_once() {
+fn a_record_that_a_later_page_has_already_counts_once() {
     let node = idle_node();
     lead(&node);
-    renew(&node, &[(302, submitted(1)), (299, submitted(2))]);
-    read_on(&node, vec![(301, submitted(3)), (302, submitted(1))], 303);
+    apply_snapshot(&node, &[(302, submitted(1)), (299, submitted(2))]);
+    apply_read(&node, vec![(301, submitted(3)), (302, submitted(1))], 303);
     assert_eq!(waiting(&node), 3);
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(3));
     let known = |id: JobId| node.job_table().get(id).is_some();
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -23,7 +23,7 @@
 /// A log with pages of newest records; every second page is not answered.
 #[derive(Clone, Default)]
 struct PagedLog {
-    asked: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
     is_expired: bool,
 }
 
@@ -44,7 +44,7 @@
     }
 
     async fn newest(&self, _: LogTopic, after: Option<&str>) -> Option<NewestPage> {
-        if self.asked.fetch_add(1, Ordering::Relaxed) % 2 == 1 {
+        if self.requests.fetch_add(1, Ordering::Relaxed) % 2 == 1 {
             return None;
         }
         let first = (0..KEYS).find(|n| after.is_none_or(|after| key(*n).as_str() > after));
@@ -59,7 +59,7 @@
 /// again and again. It goes on with that page; begun anew each time, it would never know the jobs,
 /// and a leader among such entries would renew its leadership and schedule nothing.
 #[tokio::test(start_paused = true)]
-async fn a_snapshot_goes_on_with_the_page_that_failed() {
+async fn a_snapshot_continues_with_the_page_that_failed() {
     let log = PagedLog::default();
     let mut tail = TailReader::new(LogTopic::Jobs);
     let mut failures = 0;
@@ -80,7 +80,7 @@
 /// The log has forgotten what came after the last read. The reader starts from the newest record of
 /// each key, and nothing is missed.
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_fell_behind_starts_from_the_newest_records() {
+async fn a_reader_that_fell_behind_restarts_from_the_newest_records() {
     let log = PagedLog { is_expired: true, ..PagedLog::default() };
     let mut tail = TailReader::at(LogTopic::Jobs, 7);
     for _ in 0..10 {
@@ -94,7 +94,7 @@
 
 /// A log on which configurations came faster than a narrow link carries them: one in each read.
 #[derive(Clone, Default)]
-struct StormLog {
+struct FastConfigLog {
     bytes_read: Arc<AtomicUsize>,
 }
 
@@ -102,14 +102,14 @@
 const VERSIONS: u64 = 40;
 const VERSION_BYTES: usize = 50_000;
 
-impl StormLog {
+impl FastConfigLog {
     fn record(&self, version: u64) -> (u64, KeyedRecord) {
         self.bytes_read.fetch_add(VERSION_BYTES, Ordering::Relaxed);
         (version, KeyedRecord { key: "config".to_owned(), value: version.to_be_bytes().to_vec() })
     }
 }
 
-impl JobLog for StormLog {
+impl JobLog for FastConfigLog {
     async fn append(&self, _: &AppendCall, _: Duration) -> AppendOutcome {
         AppendOutcome::Refused
     }
@@ -127,7 +127,7 @@
     }
 }
 
-fn versioned(record: &KeyedRecord) -> Option<OperatorRecord> {
+fn decode_config(record: &KeyedRecord) -> Option<OperatorRecord> {
     let version = u64::from_be_bytes(record.value.as_slice().try_into().ok()?);
     Some(OperatorRecord::Config(SiteConfig { version, ..config() }))
 }
@@ -135,14 +135,14 @@
 /// Guards against callers that are served by a configuration from seconds ago, as their entry reads each of those that
 /// came since, one after the other.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_behind_the_operators_goes_on_with_the_newest_configuration() {
-    let log = StormLog::default();
+async fn an_entry_that_lags_behind_the_operators_skips_to_the_newest_configuration() {
+    let log = FastConfigLog::default();
     let node = idle_node();
     let mut follower = OperatorFollower {
         node: node.clone(),
         log: log.clone(),
         tail: TailReader::at(LogTopic::Operator, 1),
-        decoder: versioned,
+        decoder: decode_config,
         has_unreadable_config: false,
     };
     while node.config().is_none_or(|config| config.version < VERSIONS - 1) {
--- a/tests/own_appends.rs
+++ b/tests/own_appends.rs
@@ -22,7 +22,7 @@
 /// The leader alone writes, twenty times a second. Its book follows its own appends; what it would read is what it
 /// has written.
 #[test]
-fn the_book_follows_our_own_appends() {
+fn the_applied_offset_follows_own_appends() {
     let node = leader();
     for offset in 0..5 {
         node.fold_appended(&[record(offset)], offset, offset + 1);
@@ -39,7 +39,7 @@
 /// An entry that could not reach the leader has stored a submission for itself, between two appends of the leader's.
 /// The leader must read it, or that caller's job would never run; and it need not read its own appends after it.
 #[test]
-fn records_of_others_between_are_read_and_our_own_are_not() {
+fn records_of_others_are_read_and_own_appends_are_not() {
     let node = leader();
     node.fold_appended(&[record(1)], 0, 1);
     node.fold_appended(&[record(3), record(4)], 2, 4);
@@ -55,7 +55,7 @@
 /// Guards against a job that its leader forgets: the drop of an earlier one of the same id is read again, with a record
 /// of another entry, after the leader has stored the new one.
 #[test]
-fn a_drop_that_is_read_again_takes_nothing_newer() {
+fn a_drop_that_is_read_again_removes_no_newer_job() {
     let node = leader();
     let dropped = JobRecord::Dropped(job_id(1));
     node.fold_appended(std::slice::from_ref(&dropped), 1, 4);
