--- a/tests/behind_log.rs
+++ b/tests/behind_log.rs
@@ -1,6 +1,8 @@
-//! An entry that is behind what the log keeps starts again from the newest record of each key.
+//! Tests of an entry that has fallen behind the records that the log keeps, and therefore starts
+//! again from a snapshot: the newest record of each key.
 //!
-//! The pages of such a reading are not one moment. Below, the log ends at [`END`] when the first is made.
+//! The pages of a snapshot reflect different moments. In these tests the log ends at [`END`] when
+//! the first page is made.
 
 mod support;
 
@@ -15,7 +17,7 @@
 use support::fakes::{idle_node, lead};
 use support::sim::{QUEUE, bounds, config, job, job_id, step, submission};
 
-/// End of the log when the first page was made.
+/// End of the log when the first page of the snapshot was made.
 const END: u64 = 300;
 
 fn submitted(id: u64) -> JobRecord {
@@ -37,7 +39,7 @@
     JobRecord::Progress(job_id(id), Arc::new(progress))
 }
 
-/// An entry that has read these records from the start of the log.
+/// Creates an entry that has read these records from the start of the log.
 fn lagging_node(records: Vec<JobRecord>) -> Arc<JobNode> {
     let node = idle_node();
     let end = records.len() as u64;
@@ -45,7 +47,7 @@
     node
 }
 
-/// Takes in all pages.
+/// Applies a snapshot of these records.
 fn apply_snapshot(node: &JobNode, newest: &[(u64, JobRecord)]) {
     let encode = |(offset, record): &(u64, JobRecord)| (*offset, record.encode().expect("kept"));
     fold_step(node, TailStep::Snapshot(newest.iter().map(encode).collect()), END);
@@ -59,7 +61,7 @@
     node.job_table().waiting_jobs(QUEUE)
 }
 
-/// Jobs that a leader which takes over from this entry's book would run.
+/// Number of jobs that a leader would run if it took over with this entry's job table.
 fn open_jobs(node: &JobNode) -> usize {
     let start = SchedulerStart {
         term: 2,
@@ -83,7 +85,8 @@
     node.fold_read(records, next);
 }
 
-/// Guards against a job that runs again at the next leader: it was over and dropped while that entry was behind.
+/// Guards against a job that runs again under the next leader, although it finished and was dropped
+/// while that entry lagged behind.
 #[test]
 fn a_job_that_was_dropped_meanwhile_is_gone() {
     let node = lagging_node(vec![submitted(1), submitted(2)]);
@@ -94,7 +97,7 @@
     assert_eq!(node.applied_offset(), END);
 }
 
-/// Guards against a new job that is taken for the one of the same id that was dropped meanwhile.
+/// Guards against mistaking a new job for an earlier one of the same id that was dropped meanwhile.
 #[test]
 fn a_job_that_was_dropped_and_submitted_again_is_new() {
     let node = lagging_node(vec![submitted(1), JobRecord::Cancelled(job_id(1)), completed(1)]);
@@ -103,7 +106,7 @@
     assert_eq!(waiting(&node), 1);
 }
 
-/// Guards against what is on the log that is lost with what is not.
+/// Guards against losing records that are still in the log together with those that are not.
 #[test]
 fn records_that_the_log_keeps_are_kept() {
     let wave = |names: &[&str]| {
@@ -123,7 +126,8 @@
     assert_eq!(node.job_table().maintained(1).len(), 2);
 }
 
-/// Guards against a job that its entry forgets, as it was stored after the page that it would stand on was made.
+/// Guards against an entry that forgets a job, because the job was stored after the page that would
+/// hold it was made.
 #[test]
 fn records_that_this_entry_appends_between_two_pages_are_kept() {
     let node = lagging_node(vec![submitted(1), submitted(2)]);
@@ -133,8 +137,8 @@
     assert_eq!(state(&node, 3), Some(JobState::Queued));
 }
 
-/// Guards against a job that is lost to its entry, as the leader stored it and its offset is not known: it is on a
-/// page, or it is read on.
+/// Guards against an entry that loses a job that the leader stored at an offset unknown to the
+/// entry. The job is either on a page or among the records read after the snapshot.
 #[test]
 fn records_that_the_leader_stores_between_two_pages_are_read_later() {
     let node = lagging_node(vec![submitted(1)]);
@@ -148,13 +152,14 @@
     assert_eq!(waiting(&node), 2);
 }
 
-/// Guards against runs that a leader forgets, as it wrote them after the page of their job was made.
+/// Guards against a leader that forgets runs, because it wrote them after the page of their job was
+/// made.
 #[test]
 fn records_that_a_leader_writes_between_two_pages_are_kept() {
     let node = lagging_node(vec![submitted(1), submitted(2)]);
     lead(&node);
     node.fold_appended(&[completed(1), submitted(3)], 305, 307);
-    // Once more as the caller's entry, that knows no offset.
+    // Applied once more in the role of the caller's entry, which does not know the offsets.
     let unseen = JobRecord::CancelledBy(job_id(4), OrganisationDigest::of(None));
     node.fold_appended(std::slice::from_ref(&unseen), 307, 308);
     node.fold(&[(0, submitted(3)), (0, unseen)]);
@@ -162,14 +167,15 @@
     assert_eq!(state(&node, 1), Some(JobState::Completed));
     assert_eq!(state(&node, 2), Some(JobState::Queued));
     assert_eq!(state(&node, 3), Some(JobState::Queued));
-    // What others wrote before it is read, and then it need not be.
+    // Once the records of others before its own are read, its own need not be.
     apply_read(&node, Vec::new(), 305);
     assert_eq!(node.applied_offset(), 308);
     apply_read(&node, vec![(308, submitted(4))], 309);
     assert_eq!(state(&node, 4), Some(JobState::Cancelled));
 }
 
-/// Guards against a job that comes back with a page from before its drop, which is read on from the first page's end.
+/// Guards against a job that comes back with a page from before its drop. The drop is among the
+/// records read from the first page's end on.
 #[test]
 fn a_job_that_is_dropped_between_two_pages_goes_when_the_drop_is_read() {
     let node = lagging_node(vec![submitted(1)]);
@@ -178,7 +184,8 @@
     assert_eq!((state(&node, 1), state(&node, 2), waiting(&node)), (None, None, 0));
 }
 
-/// Guards against a job that comes back with a page from before a leader's own drop of it, which it does not read.
+/// Guards against a job that comes back with a page from before a leader's own drop of it, which
+/// the leader does not read back.
 #[test]
 fn a_job_that_this_entry_drops_between_two_pages_stays_gone() {
     let node = lagging_node(vec![submitted(1)]);
@@ -189,13 +196,14 @@
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(0));
     apply_read(&node, Vec::new(), 302);
     assert_eq!(node.applied_offset(), 305);
-    // The same id later is another job.
+    // A later submission under the same id is another job.
     apply_read(&node, vec![(305, submitted(1))], 306);
     assert_eq!(state(&node, 1), Some(JobState::Queued));
     assert_eq!(node.with_scheduler(|scheduler| scheduler.stats().jobs), Some(1));
 }
 
-/// Guards against a job that comes back with pages that are older than what another reader has read meanwhile.
+/// Guards against a job that comes back with a snapshot that is older than the records that another
+/// reader has applied meanwhile.
 #[test]
 fn a_snapshot_older_than_the_applied_offset_changes_nothing() {
     let node = lagging_node(vec![submitted(1)]);
@@ -205,7 +213,8 @@
     assert_eq!((node.applied_offset(), waiting(&node)), (400, 1));
 }
 
-/// Guards against a job that is counted or told to the leader twice, as a late page has it and it is read on.
+/// Guards against counting a job twice, or passing it to the scheduler twice, because a later page
+/// holds it and it is read once more after the snapshot.
 #[test]
 fn a_record_that_a_later_page_has_already_counts_once() {
     let node = idle_node();
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Reading a keyed stream whose history is short.
+//! Tests of reading a keyed stream whose log drops old records soon.
 
 mod support;
 
@@ -16,11 +16,11 @@
 use support::fakes::idle_node;
 use support::sim::config;
 
-/// Keys in the log, ten to a page.
+/// Number of keys in the log, in pages of ten.
 const KEYS: usize = 35;
 const PAGE: usize = 10;
 
-/// A log with pages of newest records; every second page is not answered.
+/// A log that serves the newest records in pages and leaves every second request unanswered.
 #[derive(Clone, Default)]
 struct PagedLog {
     requests: Arc<AtomicUsize>,
@@ -55,9 +55,10 @@
     }
 }
 
-/// An entry restarts behind a slow link: a page of the log's newest records is not answered in time,
-/// again and again. It goes on with that page; begun anew each time, it would never know the jobs,
-/// and a leader among such entries would renew its leadership and schedule nothing.
+/// An entry restarts on a slow link, and pages of the log's newest records time out again and
+/// again. The reader must continue with the page that failed. If it began anew each time, it would
+/// never know the jobs, and a leader among such entries would renew its leadership and schedule
+/// nothing.
 #[tokio::test(start_paused = true)]
 async fn a_snapshot_continues_with_the_page_that_failed() {
     let log = PagedLog::default();
@@ -70,15 +71,15 @@
                 break;
             }
             TailStep::Failed => failures += 1,
-            TailStep::Records(_) => panic!("nothing was read yet"),
+            TailStep::Records(_) => panic!("no snapshot was read yet"),
         }
-        assert!(failures < 10, "it begins anew each time");
+        assert!(failures < 10, "the snapshot begins anew each time");
     }
     assert_eq!(tail.position(), 500);
 }
 
-/// The log has forgotten what came after the last read. The reader starts from the newest record of
-/// each key, and nothing is missed.
+/// The log has dropped records that follow the last read. The reader starts again from the newest
+/// record of each key and misses no key.
 #[tokio::test(start_paused = true)]
 async fn a_reader_that_fell_behind_restarts_from_the_newest_records() {
     let log = PagedLog { is_expired: true, ..PagedLog::default() };
@@ -89,16 +90,17 @@
             return;
         }
     }
-    panic!("it never gets to the end");
+    panic!("the snapshot is never complete");
 }
 
-/// A log on which configurations came faster than a narrow link carries them: one in each read.
+/// A log to which configurations are appended faster than a narrow link carries them. Each read
+/// returns one.
 #[derive(Clone, Default)]
 struct FastConfigLog {
     bytes_read: Arc<AtomicUsize>,
 }
 
-/// Versions on it, and the size of each.
+/// Number of configuration versions in the log, and the size of each in bytes.
 const VERSIONS: u64 = 40;
 const VERSION_BYTES: usize = 50_000;
 
@@ -117,7 +119,7 @@
     async fn read(&self, _: LogTopic, from: u64, _: Duration) -> ReadOutcome {
         let records: Vec<(u64, KeyedRecord)> =
             (from..VERSIONS).take(1).map(|version| self.record(version)).collect();
-        let next = from + u64::try_from(records.len()).expect("one or none");
+        let next = from + u64::try_from(records.len()).expect("at most one record");
         ReadOutcome::Read(LogBatch { end: VERSIONS, next, records })
     }
 
@@ -132,8 +134,8 @@
     Some(OperatorRecord::Config(SiteConfig { version, ..config() }))
 }
 
-/// Guards against callers that are served by a configuration from seconds ago, as their entry reads each of those that
-/// came since, one after the other.
+/// Guards against an entry that serves callers by a configuration that is seconds old, because it
+/// reads each newer one in turn.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_lags_behind_the_operators_skips_to_the_newest_configuration() {
     let log = FastConfigLog::default();
--- a/tests/own_appends.rs
+++ b/tests/own_appends.rs
@@ -1,4 +1,4 @@
-//! A leader does not read back what it has written.
+//! Tests that a leader does not read back its own appends.
 
 mod support;
 
@@ -19,8 +19,8 @@
     node
 }
 
-/// The leader alone writes, twenty times a second. Its book follows its own appends; what it would read is what it
-/// has written.
+/// The leader is the only writer and appends twenty times a second. The applied offset must follow
+/// its own appends, because reading would only return what it has written itself.
 #[test]
 fn the_applied_offset_follows_own_appends() {
     let node = leader();
@@ -28,7 +28,7 @@
         node.fold_appended(&[record(offset)], offset, offset + 1);
     }
     assert_eq!(node.applied_offset(), 5);
-    // A busy machine can make an append old between two lines.
+    // On a busy machine an append can become too old between two lines of this test.
     let is_sole = (5..100).any(|offset| {
         node.fold_appended(&[record(offset)], offset, offset + 1);
         node.is_sole_writer()
@@ -36,15 +36,16 @@
     assert!(is_sole);
 }
 
-/// An entry that could not reach the leader has stored a submission for itself, between two appends of the leader's.
-/// The leader must read it, or that caller's job would never run; and it need not read its own appends after it.
+/// An entry that could not reach the leader has appended a submission itself, between two appends
+/// of the leader. The leader must read it, or that caller's job would never run. It need not read
+/// its own appends that follow.
 #[test]
 fn records_of_others_are_read_and_own_appends_are_not() {
     let node = leader();
     node.fold_appended(&[record(1)], 0, 1);
     node.fold_appended(&[record(3), record(4)], 2, 4);
     node.fold_appended(&[record(5)], 4, 5);
-    assert_eq!(node.applied_offset(), 1, "the record at offset 1 is not known");
+    assert_eq!(node.applied_offset(), 1, "the record at offset 1 has not been read");
     assert!(!node.is_sole_writer());
     node.fold_read(vec![(1, record(2))], 2);
     assert_eq!(node.applied_offset(), 5);
@@ -52,8 +53,8 @@
     assert!(node.job_table().get(job_id(2)).is_some());
 }
 
-/// Guards against a job that its leader forgets: the drop of an earlier one of the same id is read again, with a record
-/// of another entry, after the leader has stored the new one.
+/// Guards against a leader that forgets a job: the drop of an earlier job of the same id is read
+/// again, together with a record of another entry, after the leader has stored the new one.
 #[test]
 fn a_drop_that_is_read_again_removes_no_newer_job() {
     let node = leader();
