--- a/tests/busy_pool.rs
+++ b/tests/busy_pool.rs
@@ -50,7 +50,7 @@
     /// Time between two changes of leaders; 0 for none.
     term_ms: u64,
     /// Tasks that crash their workers.
-    bad: u64,
+    crashing: u64,
     /// Time from their starts to the crashes.
     crash_after_ms: u64,
 }
@@ -65,7 +65,7 @@
     loss_delay_ms: 0,
     is_busy: true,
     term_ms: 0,
-    bad: 0,
+    crashing: 0,
     crash_after_ms: 10,
 };
 
@@ -74,7 +74,7 @@
     work_ms: 1_500,
     tracked: 4,
     loss_interval_ms: 0,
-    bad: 1,
+    crashing: 1,
     ..STARTS_DURING_LOSSES
 };
 
@@ -91,9 +91,9 @@
     ages_ms: Vec<u64>,
     /// The same for the tracked ones.
     tracked_ages_ms: Vec<u64>,
-    /// Ages at which bad jobs were given up, in milliseconds.
-    bad_ages_ms: Vec<u64>,
-    bad: usize,
+    /// Ages at which jobs that crash workers were given up, in milliseconds.
+    crashing_ages_ms: Vec<u64>,
+    crashing: usize,
     given_up: usize,
     max_cost: usize,
 }
@@ -107,17 +107,17 @@
             format!("{mean}/{tail}/{}", all.last().copied().unwrap_or_default())
         };
         format!(
-            "wrongly given up {} of {}, open {}; bad given up {} of {}, most workers {}; \
-             age (mean/p99/max) all {}, watched {}, bad {}",
+            "wrongly given up {} of {}, open {}; crashing given up {} of {}, most workers {}; \
+             age (mean/p99/max) all {}, tracked {}, crashing {}",
             self.wrongly_given_up,
             self.faultless,
             self.open,
             self.given_up,
-            self.bad,
+            self.crashing,
             self.max_cost,
             ages(&mut self.ages_ms),
             ages(&mut self.tracked_ages_ms),
-            ages(&mut self.bad_ages_ms),
+            ages(&mut self.crashing_ages_ms),
         )
     }
 }
@@ -236,7 +236,7 @@
             let id = self.submit(step(1), Some(scenario.work_ms));
             self.tracked.insert(id);
         }
-        for _ in 0..scenario.bad {
+        for _ in 0..scenario.crashing {
             self.submit(step(1), None);
         }
         // Without other losses, jobs keep arriving until the tasks that crash workers have long
@@ -278,10 +278,10 @@
             };
             let is_given_up = state == JobState::Failed;
             if work_ms.is_none() {
-                tally.bad += 1;
+                tally.crashing += 1;
                 tally.given_up += usize::from(is_given_up);
                 tally.max_cost = tally.max_cost.max(self.workers_lost(task(*id, 0, 0)));
-                tally.bad_ages_ms.push(age_ms);
+                tally.crashing_ages_ms.push(age_ms);
                 continue;
             }
             tally.faultless += 1;
@@ -311,7 +311,7 @@
         println!("{line}");
         let is_passed = tally.wrongly_given_up == 0
             && tally.open == 0
-            && tally.given_up == tally.bad
+            && tally.given_up == tally.crashing
             && tally.max_cost <= LOSSES_MAX;
         if !is_passed {
             failures.push(line);
@@ -351,14 +351,19 @@
 fn tasks_that_crash_their_workers_are_limited_in_busy_pools() {
     let mut scenarios = Vec::new();
     for crash_after_ms in [10, 700, 3_000] {
-        for bad in [1, 6] {
+        for crashing in [1, 6] {
             for is_busy in [true, false] {
-                scenarios.push(BusyScenario { crash_after_ms, bad, is_busy, ..CRASHING_TASKS });
+                scenarios.push(BusyScenario {
+                    crash_after_ms,
+                    crashing,
+                    is_busy,
+                    ..CRASHING_TASKS
+                });
             }
         }
         scenarios.push(BusyScenario {
             crash_after_ms,
-            bad: 6,
+            crashing: 6,
             loss_interval_ms: 1_400,
             ..CRASHING_TASKS
         });
--- a/tests/loss_model.rs
+++ b/tests/loss_model.rs
@@ -33,20 +33,20 @@
 #[derive(Clone, Copy, Debug)]
 struct PoolLoad {
     /// One job in this many crashes its workers.
-    jobs_per_bad_one: u32,
+    jobs_per_crashing_one: u32,
     crashes: u32,
     rack_failures: u32,
     takeovers: u32,
     log_toggles: u32,
     /// Time between two losses of the flapping VM.
     flap_ms: u64,
-    /// Shortest and longest time from the start of a bad task to the crash of its worker.
+    /// Shortest and longest time from the start of a crashing task to the crash of its worker.
     crash_after_ms: (u64, u64),
 }
 
 /// Load of the pools in the tests of the limit.
 const USUAL_LOAD: PoolLoad = PoolLoad {
-    jobs_per_bad_one: 60,
+    jobs_per_crashing_one: 60,
     crashes: 4,
     rack_failures: 2,
     takeovers: 3,
@@ -58,7 +58,7 @@
 /// Results of one pool size.
 #[derive(Debug, Default)]
 struct Tally {
-    bad: usize,
+    crashing: usize,
     given_up: usize,
     cost: usize,
     max_cost: usize,
@@ -70,14 +70,14 @@
 struct Pool {
     sim: SchedulerSim,
     random: StdRng,
-    /// Draws when bad tasks crash their workers.
+    /// Draws when those tasks crash their workers.
     crash_random: StdRng,
     size: usize,
     load: PoolLoad,
     /// Run time of the tasks of each job, in steps.
     lengths: BTreeMap<JobId, u32>,
     begun: BTreeMap<JobId, u64>,
-    bad: BTreeSet<JobId>,
+    crashing: BTreeSet<JobId>,
     ended: BTreeMap<JobId, JobState>,
     other_losses: usize,
     age_ms: u64,
@@ -105,7 +105,7 @@
             load,
             lengths: BTreeMap::new(),
             begun: BTreeMap::new(),
-            bad: BTreeSet::new(),
+            crashing: BTreeSet::new(),
             ended: BTreeMap::new(),
             other_losses: 0,
             age_ms: 0,
@@ -144,13 +144,13 @@
         let need = ResourceVector { cpu, memory: 500, accelerators: 0 };
         let count = self.random.random_range(1..5);
         let key = job_id(id);
-        if self.random.random_range(0..self.load.jobs_per_bad_one) == 0 {
+        if self.random.random_range(0..self.load.jobs_per_crashing_one) == 0 {
             self.sim.crashing_tasks.insert(task(key, 0, 0));
-            self.bad.insert(key);
+            self.crashing.insert(key);
         }
         let length = self.random.random_range(3..20);
         // A late crasher stays at work until it crashes its worker.
-        let is_late = self.bad.contains(&key) && self.load.crash_after_ms.1 > 10;
+        let is_late = self.crashing.contains(&key) && self.load.crash_after_ms.1 > 10;
         self.lengths.insert(key, if is_late { 100 } else { length });
         self.begun.insert(key, self.sim.now);
         self.sim.submit(id, job(vec![StepSpec { need, ..step(count) }]));
@@ -220,7 +220,7 @@
                 continue;
             };
             self.ended.insert(*id, state);
-            if !self.bad.contains(id) {
+            if !self.crashing.contains(id) {
                 self.age_ms += self.sim.now - begun;
             }
         }
@@ -230,7 +230,7 @@
     /// their tasks.
     fn wrongly_given_up(&self) -> Vec<JobId> {
         let is_wrongly_given_up = |(id, state): &(&JobId, &JobState)| {
-            **state == JobState::Failed && !self.bad.contains(*id)
+            **state == JobState::Failed && !self.crashing.contains(*id)
         };
         let wrongly_given_up: Vec<JobId> =
             self.ended.iter().filter(is_wrongly_given_up).map(|(id, _)| *id).collect();
@@ -269,12 +269,12 @@
         for id in self.begun.keys() {
             let state = self.ended.get(id).copied();
             let Some(state) = state else { panic!("{id} never ends") };
-            if !self.bad.contains(id) {
+            if !self.crashing.contains(id) {
                 tally.faultless += 1;
                 continue;
             }
             let cost = self.workers_lost(task(*id, 0, 0));
-            tally.bad += 1;
+            tally.crashing += 1;
             tally.cost += cost;
             tally.max_cost = tally.max_cost.max(cost);
             tally.given_up += usize::from(state == JobState::Failed);
@@ -295,7 +295,7 @@
 #[test]
 fn no_other_job_is_given_up_where_one_in_ten_crashes_workers() {
     check(
-        PoolLoad { jobs_per_bad_one: 10, ..USUAL_LOAD },
+        PoolLoad { jobs_per_crashing_one: 10, ..USUAL_LOAD },
         env_number("IBISWEIR_TEST_SEED", 810_018),
         harsh_sizes(),
     );
@@ -305,7 +305,7 @@
 /// loss was counted against.
 #[test]
 fn no_other_job_is_given_up_where_leaders_change_often() {
-    let load = PoolLoad { jobs_per_bad_one: 10, takeovers: 30, ..USUAL_LOAD };
+    let load = PoolLoad { jobs_per_crashing_one: 10, takeovers: 30, ..USUAL_LOAD };
     check(load, env_number("IBISWEIR_TEST_SEED", 810_003), harsh_sizes());
 }
 
@@ -370,7 +370,7 @@
         }
         println!("{size} VMs: {tally:?}");
         assert!(tally.max_cost <= LOSSES_MAX, "size {size}: {tally:?}");
-        assert_eq!(tally.given_up, tally.bad, "size {size}: one runs on");
+        assert_eq!(tally.given_up, tally.crashing, "size {size}: one runs on");
     }
     assert!(wrongly_given_up.is_empty(), "jobs without fault were given up: {wrongly_given_up:?}");
 }
--- a/tests/restart_model.rs
+++ b/tests/restart_model.rs
@@ -74,7 +74,7 @@
 
     fn draw_worker(&mut self) -> Arc<str> {
         let drawn = self.random.random_range(0..WORKERS);
-        self.sim.workers.keys().nth(drawn).expect("each worker has a life").clone()
+        self.sim.workers.keys().nth(drawn).expect("each worker has an incarnation").clone()
     }
 
     fn play(&mut self, event: WorkerEvent, id: &Arc<str>) {
--- a/tests/scheduler_losses.rs
+++ b/tests/scheduler_losses.rs
@@ -63,9 +63,9 @@
     sim.advance(100);
     sim.crash("w1");
 
-    let told = |id| times_at_work(&sim, task(id, 0, 0))[0].expect("the worker told of it");
-    assert!((600..=700).contains(&told(older)), "{}", told(older));
-    assert!(told(newer) <= 100, "{}", told(newer));
+    let time_at_work = |id| times_at_work(&sim, task(id, 0, 0))[0].expect("the worker reported it");
+    assert!((600..=700).contains(&time_at_work(older)), "{}", time_at_work(older));
+    assert!(time_at_work(newer) <= 100, "{}", time_at_work(newer));
 }
 
 /// Guards against a task that crashes one worker after another with everything else that runs
@@ -79,12 +79,12 @@
     let mut sim = four_workers();
     let faultless: Vec<JobId> = (1..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
     sim.crashing_tasks.insert(task(job_id(7), 0, 0));
-    let bad = sim.submit(7, job(vec![step(4)]));
+    let crashing_job = sim.submit(7, job(vec![step(4)]));
     let later: Vec<JobId> = (8..=12).map(|n| sim.submit(n, job(vec![step(3)]))).collect();
     run_tasks(&mut sim, 15_000);
 
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(are_completed(&sim, &faultless) && are_completed(&sim, &later));
 }
 
@@ -92,12 +92,13 @@
 fn logged_losses(sim: &SchedulerSim, key: TaskKey) -> LossCount {
     let progress = sim.job_table.get(key.job).and_then(|job| job.progress.clone());
     let setbacks = progress.map(|progress| progress.restarts.clone()).unwrap_or_default();
-    let told = setbacks.iter().find(|told| (told.step, told.index) == (key.step, key.index));
-    told.map(|told| told.losses).unwrap_or_default()
+    let logged =
+        setbacks.iter().find(|logged| (logged.step, logged.index) == (key.step, key.index));
+    logged.map(|logged| logged.losses).unwrap_or_default()
 }
 
 /// Submits a job whose first task crashes its workers.
-fn submit_bad(sim: &mut SchedulerSim, id: u64, spec: JobSpec) -> JobId {
+fn submit_crashing_job(sim: &mut SchedulerSim, id: u64, spec: JobSpec) -> JobId {
     sim.crashing_tasks.insert(task(job_id(id), 0, 0));
     sim.submit(id, spec)
 }
@@ -108,7 +109,7 @@
 #[test]
 fn no_loss_is_forgotten_when_the_leader_changes_after_each() {
     let mut sim = four_workers();
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     let mut term = 1;
     for _ in 0..60 {
         let lost = sim.lost.len();
@@ -118,7 +119,7 @@
             sim.take_over(term, config());
         }
     }
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
@@ -128,14 +129,14 @@
 #[test]
 fn two_leaders_within_a_second_cost_no_more_workers_than_the_limit() {
     let mut sim = four_workers();
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     for term in 2..40 {
         sim.take_over(2 * term, config());
         sim.advance(300);
         sim.take_over(2 * term + 1, config());
         sim.advance(700);
     }
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
@@ -186,10 +187,14 @@
 fn losses_that_are_noticed_late_count_too() {
     let mut sim = four_workers();
     sim.restart_ms = 20_000;
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     sim.advance(120_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert!(sim.starts(task(bad, 0, 0)) <= LOSSES_MAX, "{}", sim.starts(task(bad, 0, 0)));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
+    assert!(
+        sim.starts(task(crashing_job, 0, 0)) <= LOSSES_MAX,
+        "{}",
+        sim.starts(task(crashing_job, 0, 0))
+    );
 }
 
 /// The start is never answered: the worker is lost before. The next start is sent only once the
@@ -198,9 +203,9 @@
 fn the_loss_of_an_unanswered_start_counts() {
     let mut sim = four_workers();
     sim.is_start_answered = false;
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     sim.advance(30_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
@@ -212,9 +217,9 @@
     let mut sim = four_workers();
     sim.crash_after_ms = 700;
     let others: Vec<JobId> = (2..=6).map(|n| sim.submit(n, job(vec![step(4)]))).collect();
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     run_tasks(&mut sim, 60_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
     assert!(are_completed(&sim, &others));
 }
@@ -225,10 +230,10 @@
 fn services_and_best_effort_services_have_the_same_limit() {
     for is_best_effort in [false, true] {
         let mut sim = four_workers();
-        let lasting = StepSpec { is_best_effort, ..service_step(2) };
-        let bad = submit_bad(&mut sim, 1, job(vec![lasting]));
+        let service = StepSpec { is_best_effort, ..service_step(2) };
+        let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![service]));
         sim.advance(30_000);
-        assert_eq!(sim.state(bad), Some(JobState::Failed));
+        assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
         assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
     }
 }
@@ -239,9 +244,9 @@
 fn a_gang_with_such_a_member_has_the_same_limit() {
     let mut sim = four_workers();
     let gang = StepSpec { is_gang: true, per_worker_max: 1, ..step(3) };
-    let bad = submit_bad(&mut sim, 1, job(vec![gang]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![gang]));
     sim.advance(30_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
@@ -251,9 +256,9 @@
     let mut sim = four_workers();
     sim.crashing_tasks.insert(task(job_id(1), 1, 0));
     let second = StepSpec { after: vec![0], ..step(2) };
-    let bad = sim.submit(1, job(vec![step(2), second]));
+    let crashing_job = sim.submit(1, job(vec![step(2), second]));
     run_tasks(&mut sim, 20_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= WORKERS_LOST_MAX, "{} workers were lost", sim.lost.len());
 }
 
@@ -262,18 +267,18 @@
 #[test]
 fn a_retry_of_a_job_that_was_given_up_starts_nothing() {
     let mut sim = four_workers();
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     sim.advance(10_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
-    let starts = sim.starts(task(bad, 0, 0));
-    let record = JobRecord::Submitted(bad, Arc::new(submission(job(vec![step(1)]))));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
+    let starts = sim.starts(task(crashing_job, 0, 0));
+    let record = JobRecord::Submitted(crashing_job, Arc::new(submission(job(vec![step(1)]))));
     sim.scheduler.apply_record(&record, sim.now);
     sim.append(&record);
     sim.take_over(2, config());
     sim.advance(10_000);
 
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
-    assert_eq!(sim.starts(task(bad, 0, 0)), starts);
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
+    assert_eq!(sim.starts(task(crashing_job, 0, 0)), starts);
 }
 
 /// A rack loses power repeatedly, with all that runs there. No task caused that: every job is
@@ -335,7 +340,7 @@
         sim.advance(second_ms);
         sim.crash(&other);
         run_tasks(&mut sim, 10_000);
-        assert!(are_completed(&sim, &many), "second news after {second_ms} ms");
+        assert!(are_completed(&sim, &many), "second report after {second_ms} ms");
     }
 }
 
@@ -370,7 +375,7 @@
     config.queues[0].permits = Some(PermitPolicy { call_ms: 5, worker_ms: 1, valid_ms: 60_000 });
     let pool = (1..=4).map(|n| worker(&format!("w{n}"), &format!("r{}", n % 2))).collect();
     let mut sim = SchedulerSim::open(config, pool);
-    let bad = submit_bad(&mut sim, 1, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(1)]));
     for _ in 0..100 {
         sim.advance(500);
         for (step, workers) in std::mem::take(&mut sim.permits_requested) {
@@ -379,7 +384,7 @@
             sim.scheduler.update_permits(step, Some(grant), sim.now);
         }
     }
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
 
@@ -388,16 +393,16 @@
 #[test]
 fn a_waiting_start_is_not_sent_once_its_job_is_given_up() {
     let mut sim = four_workers();
-    let bad = submit_bad(&mut sim, 1, job(vec![step(2)]));
-    let other = task(bad, 0, 1);
-    while sim.state(bad) != Some(JobState::Failed) {
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![step(2)]));
+    let other = task(crashing_job, 0, 1);
+    while sim.state(crashing_job) != Some(JobState::Failed) {
         sim.is_lane_held = sim.lost.len() == WORKERS_LOST_MAX;
         sim.advance(100);
     }
-    let starts = (sim.starts(task(bad, 0, 0)), sim.starts(other));
+    let starts = (sim.starts(task(crashing_job, 0, 0)), sim.starts(other));
     sim.empty_lanes();
     sim.advance(2_000);
-    assert_eq!((sim.starts(task(bad, 0, 0)), sim.starts(other)), starts);
+    assert_eq!((sim.starts(task(crashing_job, 0, 0)), sim.starts(other)), starts);
 }
 
 /// No executor could take a start, and its worker is lost before the start is sent another way. The
@@ -630,9 +635,9 @@
     }
     assert_eq!((logged_losses(&sim, key).total, sim.alive(key)), (3, 0));
     sim.advance(1_600);
-    submit_bad(&mut sim, 2, job(vec![step(1)]));
+    submit_crashing_job(&mut sim, 2, job(vec![step(1)]));
     sim.advance(900);
-    assert!(sim.lost.len() > 3, "the bad task has crashed a worker");
+    assert!(sim.lost.len() > 3, "the other task has crashed a worker");
     assert_eq!(sim.alive(key), 1);
 }
 
@@ -719,9 +724,9 @@
     }
     sim.advance(70_000);
     assert_eq!((logged_losses(&sim, key).total, sim.alive(key)), (3, 1));
-    let bad = submit_bad(&mut sim, 2, job(vec![step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 2, job(vec![step(1)]));
     sim.advance(20_000);
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert_eq!(sim.state(id), Some(JobState::Running));
 }
 
@@ -777,10 +782,10 @@
 fn a_service_that_crashes_its_workers_late_is_bounded() {
     let mut sim = four_workers();
     sim.crash_after_ms = 6_000;
-    let bad = submit_bad(&mut sim, 1, job(vec![service_step(1)]));
+    let crashing_job = submit_crashing_job(&mut sim, 1, job(vec![service_step(1)]));
     for _ in 0..200 {
         sim.advance(500);
     }
-    assert_eq!(sim.state(bad), Some(JobState::Failed));
+    assert_eq!(sim.state(crashing_job), Some(JobState::Failed));
     assert!(sim.lost.len() <= LOSSES_MAX, "{} workers were lost", sim.lost.len());
 }
