--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -40,20 +40,20 @@
 /// Largest batch, in bytes.
 pub const STARTS_BYTES_MAX: usize = 256 << 10;
 /// Time between two looks whether an offer is due.
-const OFFER_LOOK: Duration = Duration::from_millis(200);
+const OFFER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two offers of an entry that the log does not answer, in milliseconds.
-const SILENT_GAP_MS: u64 = 500;
+const LOG_UNREACHABLE_OFFER_INTERVAL_MS: u64 = 500;
 /// Time for the leader to take one.
-const OFFER_PATIENCE: Duration = Duration::from_millis(600);
+const OFFER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time in which starts gather to a batch: a commit releases many at once, and each batch costs 0.3 KB.
-const GATHER: Duration = Duration::from_millis(6);
+const BATCH_DELAY: Duration = Duration::from_millis(6);
 /// Time for a worker to answer a start of an executor.
-const START_PATIENCE: Duration = Duration::from_millis(450);
+const START_TIMEOUT: Duration = Duration::from_millis(450);
 /// Time for a batch to be answered.
-const BATCH_PATIENCE: Duration = Duration::from_millis(900);
+const BATCH_TIMEOUT: Duration = Duration::from_millis(900);
 /// Age from which a batch is not begun, in milliseconds: the leader has given it up and may have sent its
 /// starts another way.
-const STALE_MS: u64 = 1_200;
+const STALE_BATCH_MS: u64 = 1_200;
 
 /// One start without its job's text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -129,20 +129,20 @@
         let mut batches = JoinSet::new();
         let mut turn = 0_usize;
         while let Some(first) = self.orders.recv().await {
-            sleep(GATHER).await;
+            sleep(BATCH_DELAY).await;
             let mut orders = vec![first];
             while let Ok(order) = self.orders.try_recv() {
                 orders.push(order);
             }
             for batch in batches_in_turn(orders, turn) {
-                self.hand_on(batch, &mut batches);
+                self.dispatch(batch, &mut batches);
             }
             turn = turn.wrapping_add(1);
             while batches.try_join_next().is_some() {}
         }
     }
 
-    fn hand_on(&self, orders: Vec<StartOrder>, batches: &mut JoinSet<()>) {
+    fn dispatch(&self, orders: Vec<StartOrder>, batches: &mut JoinSet<()>) {
         let now = self.node.now();
         let picked = {
             let mut executors = self.node.executors();
@@ -156,13 +156,13 @@
             let centre = orders.first().map(|order| order.centre.clone());
             info!(self.node.logger, "no executor has room for starts"; "starts" => orders.len(),
                 "centre" => centre.as_deref());
-            tell(&self.node, &orders, &vec![DelegatedOutcome::NotSent; orders.len()]);
+            report_outcomes(&self.node, &orders, &vec![DelegatedOutcome::NotSent; orders.len()]);
             return;
         };
         let (node, transport) = (self.node.clone(), self.transport.clone());
         batches.spawn(async move {
-            let outcomes = exchange(&node, &transport, address, stamp, &orders).await;
-            tell(&node, &orders, &outcomes);
+            let outcomes = send_batch(&node, &transport, address, stamp, &orders).await;
+            report_outcomes(&node, &orders, &outcomes);
         });
     }
 }
@@ -189,17 +189,17 @@
 }
 
 /// Sends a batch and reads what became of its starts.
-async fn exchange(
+async fn send_batch(
     node: &JobNode,
     transport: &HttpTransport,
     address: SocketAddr,
     stamp: ExecutorStamp,
     orders: &[StartOrder],
 ) -> Vec<DelegatedOutcome> {
-    let starts = orders.iter().map(delegated).collect();
+    let starts = orders.iter().map(delegated_start).collect();
     let body = postcard::to_stdvec(&StartBatch { stamp, starts }).unwrap_or_default();
     let call = post(STARTS_PATH, body);
-    let answer = transport.exchange(address, call, BATCH_PATIENCE).await;
+    let answer = transport.exchange(address, call, BATCH_TIMEOUT).await;
     let outcomes = match &answer {
         Ok(answer) if answer.status == StatusCode::OK => {
             let outcomes: Option<Vec<DelegatedOutcome>> = postcard::from_bytes(&answer.body).ok();
@@ -210,16 +210,17 @@
         }
         Err(ExchangeFailure::NoAnswer) => None,
     };
-    let is_well = answer.is_ok_and(|answer| answer.status == StatusCode::OK) && outcomes.is_some();
-    node.executors().end_batch(address, orders.len(), is_well, node.now());
-    if !is_well {
+    let has_outcomes =
+        answer.is_ok_and(|answer| answer.status == StatusCode::OK) && outcomes.is_some();
+    node.executors().end_batch(address, orders.len(), has_outcomes, node.now());
+    if !has_outcomes {
         info!(node.logger, "an executor has not answered"; "executor" => %address,
             "starts" => orders.len(), "may_be_sent" => outcomes.is_none());
     }
     outcomes.unwrap_or_else(|| vec![DelegatedOutcome::Unknown; orders.len()])
 }
 
-fn delegated(order: &StartOrder) -> DelegatedStart {
+fn delegated_start(order: &StartOrder) -> DelegatedStart {
     DelegatedStart {
         worker: order.target.id.clone(),
         address: order.target.address,
@@ -233,7 +234,7 @@
 }
 
 /// Tells the scheduler what became of starts.
-fn tell(node: &JobNode, orders: &[StartOrder], outcomes: &[DelegatedOutcome]) {
+fn report_outcomes(node: &JobNode, orders: &[StartOrder], outcomes: &[DelegatedOutcome]) {
     let now = node.now();
     for (order, outcome) in orders.iter().zip(outcomes) {
         let (task, run, worker) = (&order.call.task, order.call.run, &order.target.id);
@@ -263,11 +264,11 @@
     body: &[u8],
 ) -> Option<Vec<DelegatedOutcome>> {
     let batch: StartBatch = postcard::from_bytes(body).ok()?;
-    let is_ours = batch.stamp.incarnation == node.incarnation;
-    let is_late = node.now() > batch.stamp.sent_ms + STALE_MS;
-    if !is_ours || is_late || node.is_stopping() {
+    let is_for_this_incarnation = batch.stamp.incarnation == node.incarnation;
+    let is_late = node.now() > batch.stamp.sent_ms + STALE_BATCH_MS;
+    if !is_for_this_incarnation || is_late || node.is_stopping() {
         warn!(node.logger, "a batch of starts is not begun"; "starts" => batch.starts.len(),
-            "is_late" => is_late, "is_of_another_life" => !is_ours);
+            "is_late" => is_late, "is_of_another_life" => !is_for_this_incarnation);
         return Some(vec![DelegatedOutcome::NotSent; batch.starts.len()]);
     }
     info!(node.logger, "carrying out starts"; "tasks" => %TaskNames(&batch.starts),
@@ -275,16 +276,16 @@
     let mut outcomes = vec![DelegatedOutcome::NotSent; batch.starts.len()];
     let mut calls = JoinSet::new();
     for (position, start) in batch.starts.into_iter().enumerate() {
-        let Some(payload) = payload(node, &start.task) else { continue };
+        let Some(payload) = job_payload(node, &start.task) else { continue };
         let (target, call) = start_call(start, payload);
         let workers = workers.clone();
         // A call that panics may have been sent.
         outcomes[position] = DelegatedOutcome::Unknown;
-        calls.spawn(async move { (position, workers.start(&target, &call, START_PATIENCE).await) });
+        calls.spawn(async move { (position, workers.start(&target, &call, START_TIMEOUT).await) });
     }
     node.metrics.delegated_starts.inc_by(u64::try_from(calls.len()).unwrap_or(0));
-    while let Some(ended) = calls.join_next().await {
-        let Ok((position, outcome)) = ended else { continue };
+    while let Some(finished) = calls.join_next().await {
+        let Ok((position, outcome)) = finished else { continue };
         outcomes[position] = match outcome {
             CommandOutcome::Done(clock_ms) => DelegatedOutcome::Done(clock_ms),
             CommandOutcome::Refused(refusal, clock) => DelegatedOutcome::Refused(refusal, clock),
@@ -300,8 +301,8 @@
 impl fmt::Display for TaskNames<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (position, start) in self.0.iter().enumerate() {
-            let gap = if position == 0 { "" } else { " " };
-            write!(f, "{gap}{}/{}", start.task, start.run)?;
+            let separator = if position == 0 { "" } else { " " };
+            write!(f, "{separator}{}/{}", start.task, start.run)?;
         }
         Ok(())
     }
@@ -309,12 +310,12 @@
 
 /// Text of a task's job, if the book has it and does not show the job as over: the leader may learn later than
 /// this entry that it was cancelled.
-fn payload(node: &JobNode, task: &TaskKey) -> Option<Arc<str>> {
-    let book = node.job_table();
-    let job = book.get(task.job)?;
+fn job_payload(node: &JobNode, task: &TaskKey) -> Option<Arc<str>> {
+    let table = node.job_table();
+    let job = table.get(task.job)?;
     let submission = job.submission.as_ref()?;
-    let is_over = submission.has_no_spec() || job.state()?.is_final();
-    (!is_over).then(|| submission.spec.payload.as_str().into())
+    let is_finished = submission.has_no_spec() || job.state()?.is_final();
+    (!is_finished).then(|| submission.spec.payload.as_str().into())
 }
 
 fn start_call(start: DelegatedStart, payload: Arc<str>) -> (WorkerTarget, StartCall) {
@@ -352,38 +353,38 @@
     async fn step(&mut self) -> Duration {
         // Whoever carries out starts offers often; of the others the leader needs to know that they are there. One that the
         // log turns away learns by it whether the leader stores for it.
-        let gap_ms = match (self.node.is_log_silent(), self.node.is_replica()) {
-            (true, _) => SILENT_GAP_MS,
+        let interval_ms = match (self.node.is_log_silent(), self.node.is_replica()) {
+            (true, _) => LOG_UNREACHABLE_OFFER_INTERVAL_MS,
             (false, true) => OFFER_INTERVAL_MS,
             (false, false) => offer_interval_ms(self.node.replicas().entries),
         };
         let now = self.node.now();
-        if self.offered_ms.is_some_and(|offered| now < offered + gap_ms) {
-            return OFFER_LOOK;
+        if self.offered_ms.is_some_and(|offered_ms| now < offered_ms + interval_ms) {
+            return OFFER_CHECK_INTERVAL;
         }
         self.offered_ms = Some(now);
         if let Some(leader) = self.node.leader().filter(|_| self.node.may_offer()) {
             let body = postcard::to_stdvec(&self.node.offer()).unwrap_or_default();
             let answer =
-                self.transport.exchange(leader, post(OFFER_PATH, body), OFFER_PATIENCE).await;
+                self.transport.exchange(leader, post(OFFER_PATH, body), OFFER_TIMEOUT).await;
             // The next offer follows anyhow; who leads is found out elsewhere.
             if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 self.node.record_store();
             }
         }
-        OFFER_LOOK
+        OFFER_CHECK_INTERVAL
     }
 }
 
 /// Takes another entry's offer; false if it can't be read, or this entry does not lead or can't store for others now.
 pub fn take_offer(node: &JobNode, body: &[u8]) -> bool {
     let Ok(offer) = postcard::from_bytes::<ExecutorOffer>(body) else { return false };
-    let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
-    if leads {
+    let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
+    if is_leader {
         node.planner().record_offer(&offer, node.now());
         if offer.has_replica {
             node.executors().record_offer(offer, node.now());
         }
     }
-    leads && !node.is_log_silent()
+    is_leader && !node.is_log_silent()
 }
