--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -1,13 +1,15 @@
-//! Starts that other entries carry out for the leader.
+//! Delegation of starts: other entries (executors) send starts to workers for the leader.
 //!
-//! The leader sends batches of starts without the jobs' text; the executor takes that from its copy of the
-//! log, calls the workers, and answers with what became of each. Every other call to a worker stays with
-//! the leader, and so does every decision.
+//! The leader sends an executor batches of starts without the text of their jobs. The executor takes
+//! that text from its replica of the job log, calls the workers and answers with the outcome of each
+//! start. The leader makes every decision and every other call to a worker itself.
 //!
-//! What an executor does late is no more than a start that its worker carries out late: the worker takes a
-//! run once, refuses it after a stop, after its lease and under a newer leader's token, and the leader
-//! repeats the same run until it knows. A batch that was on its way for longer than the leader waits for it
-//! is not begun at all: the executor tells its age by its own clock, which the leader has from its offers.
+//! A start that an executor sends late has the effect of a start that the worker receives late. The
+//! worker accepts a run once, and refuses it after a stop, after the lease has expired or if it has
+//! seen a newer leader's fencing token. The leader repeats the same run until it knows the outcome.
+//! An executor does not begin a batch that was in flight for longer than the leader waits for the
+//! answer. It computes the age with its own clock: the leader knows that clock from the executor's
+//! offers and stamps the batch with it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -33,83 +35,84 @@
 };
 use crate::transport::{ExchangeFailure, HttpCall, HttpTransport};
 
-/// Path of an offer.
+/// Path to which an entry posts its offer to the leader.
 pub const OFFER_PATH: &str = "/executor";
-/// Path of a batch of starts.
+/// Path to which the leader posts a batch of starts.
 pub const STARTS_PATH: &str = "/starts";
-/// Largest batch, in bytes.
+/// Maximum size of a batch of starts or an offer, in bytes.
 pub const STARTS_BYTES_MAX: usize = 256 << 10;
-/// Time between two looks whether an offer is due.
+/// Interval of the checks whether an offer is due.
 const OFFER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two offers of an entry that the log does not answer, in milliseconds.
+/// Interval of the offers of an entry that the log does not answer, in milliseconds.
 const LOG_UNREACHABLE_OFFER_INTERVAL_MS: u64 = 500;
-/// Time for the leader to take one.
+/// Timeout of an offer.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time in which starts gather to a batch: a commit releases many at once, and each batch costs 0.3 KB.
+/// Delay in which starts are collected into a batch: a commit releases many starts at once, and each
+/// batch costs 0.3 KB.
 const BATCH_DELAY: Duration = Duration::from_millis(6);
-/// Time for a worker to answer a start of an executor.
+/// Timeout of a start that an executor sends to a worker.
 const START_TIMEOUT: Duration = Duration::from_millis(450);
-/// Time for a batch to be answered.
+/// Timeout of a batch.
 const BATCH_TIMEOUT: Duration = Duration::from_millis(900);
-/// Age from which a batch is not begun, in milliseconds: the leader has given it up and may have sent its
-/// starts another way.
+/// Age above which an executor does not begin a batch, in milliseconds: the leader has given it up and
+/// may have sent its starts another way.
 const STALE_BATCH_MS: u64 = 1_200;
 
-/// One start without its job's text.
+/// A start without the text of its job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DelegatedStart {
-    /// Worker.
+    /// Name of the worker.
     pub worker: Arc<str>,
-    /// Where it listens.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Task.
+    /// Task to start.
     pub task: TaskKey,
-    /// Run number.
+    /// Number of the run of this task.
     pub run: u32,
-    /// End of its lease on the worker's clock, in milliseconds.
+    /// End of the lease of the run by the worker's clock, in milliseconds.
     pub lease_until_ms: u64,
-    /// Leader's fencing token.
+    /// Fencing token of the leader.
     pub fence: u64,
-    /// Checkpoint to resume from; empty for none.
+    /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: String,
-    /// Placement permit, if the queue needs one.
+    /// Placement permit, if the queue requires one.
     pub permit: Option<Arc<str>>,
 }
 
 /// A batch of starts for one executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartBatch {
-    /// For which life of it, and when it was sent.
+    /// Incarnation of the executor for which the batch is meant, and time of sending.
     pub stamp: ExecutorStamp,
-    /// Starts.
+    /// Starts to send, each answered at the same position of the outcomes.
     pub starts: Vec<DelegatedStart>,
 }
 
-/// What became of one start.
+/// Outcome of a delegated start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DelegatedOutcome {
-    /// Begun, now or before; the worker's clock.
+    /// The run has started, now or earlier; holds the worker's clock, in milliseconds.
     Done(u64),
-    /// Refused by the worker.
+    /// The worker refused it; holds the worker's clock if known.
     Refused(CommandRefusal, Option<u64>),
-    /// No answer: it may have been done, or may be done yet.
+    /// No answer: the run may have started, or may still start.
     Unknown,
-    /// The executor has not sent it.
+    /// The start was not sent to the worker.
     NotSent,
 }
 
-/// A start to be handed to an executor.
+/// A start that is to go to an executor.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
-    /// Worker.
+    /// Worker that is to run the task.
     pub target: WorkerTarget,
-    /// Its data centre.
+    /// Data centre of the worker.
     pub centre: Arc<str>,
-    /// The start.
+    /// Call to the worker.
     pub call: StartCall,
 }
 
-/// Hands the leader's starts to executors.
+/// Batches the leader's starts and sends them to executors.
 pub struct StartDelegate {
     node: Arc<JobNode>,
     transport: HttpTransport,
@@ -117,14 +120,14 @@
 }
 
 impl StartDelegate {
-    /// One that is to be run, and where it takes its orders.
+    /// Creates a delegate, on which [`StartDelegate::run`] is to be called, and the sender of its orders.
     pub fn open(node: Arc<JobNode>) -> (StartDelegate, mpsc::UnboundedSender<StartOrder>) {
         let (sender, orders) = mpsc::unbounded_channel();
         let transport = HttpTransport::open().metered(node.metrics.traffic.clone());
         (StartDelegate { node, transport, orders }, sender)
     }
 
-    /// Hands orders on until nobody can give any more. Batches under way end with it.
+    /// Processes orders until every sender is dropped. Batches in flight are cancelled when it returns.
     pub async fn run(mut self) {
         let mut batches = JoinSet::new();
         let mut turn = 0_usize;
@@ -154,7 +157,7 @@
         };
         let Some((address, stamp)) = picked else {
             let centre = orders.first().map(|order| order.centre.clone());
-            info!(self.node.logger, "no executor has room for starts"; "starts" => orders.len(),
+            info!(self.node.logger, "no executor has capacity for starts"; "starts" => orders.len(),
                 "centre" => centre.as_deref());
             report_outcomes(&self.node, &orders, &vec![DelegatedOutcome::NotSent; orders.len()]);
             return;
@@ -167,8 +170,10 @@
     }
 }
 
-/// Starts in batches of one data centre each, in the order in which they are handed on: one of each in turn, and another
-/// centre first each time. Executors may have room for the first few only.
+/// Groups starts into batches of one data centre each, in the order in which they are dispatched.
+///
+/// The order takes one batch of each data centre in turn, and `turn` rotates the data centre that
+/// comes first, as executors may have capacity for the first few batches only.
 pub fn batches_in_turn(mut orders: Vec<StartOrder>, turn: usize) -> Vec<Vec<StartOrder>> {
     orders.sort_by(|one, other| one.centre.cmp(&other.centre));
     let mut centres: Vec<_> = orders
@@ -188,7 +193,7 @@
     batches
 }
 
-/// Sends a batch and reads what became of its starts.
+/// Sends a batch to an executor and returns the outcome of each start.
 async fn send_batch(
     node: &JobNode,
     transport: &HttpTransport,
@@ -214,7 +219,7 @@
         answer.is_ok_and(|answer| answer.status == StatusCode::OK) && outcomes.is_some();
     node.executors().end_batch(address, orders.len(), has_outcomes, node.now());
     if !has_outcomes {
-        info!(node.logger, "an executor has not answered"; "executor" => %address,
+        info!(node.logger, "executor did not answer a batch of starts"; "executor" => %address,
             "starts" => orders.len(), "may_be_sent" => outcomes.is_none());
     }
     outcomes.unwrap_or_else(|| vec![DelegatedOutcome::Unknown; orders.len()])
@@ -233,7 +238,7 @@
     }
 }
 
-/// Tells the scheduler what became of starts.
+/// Reports the outcomes of starts to the scheduler.
 fn report_outcomes(node: &JobNode, orders: &[StartOrder], outcomes: &[DelegatedOutcome]) {
     let now = node.now();
     for (order, outcome) in orders.iter().zip(outcomes) {
@@ -256,8 +261,11 @@
     node.wake.notify_one();
 }
 
-/// Carries out a batch of the leader's; nothing if it can't be read. Starts of jobs that this entry knows no
-/// text for yet, or knows to be over, are left to the leader.
+/// Sends the starts of a batch from the leader to their workers and returns the outcomes, or `None` if
+/// the batch is malformed.
+///
+/// A start is left to the leader, as not sent, if this entry does not have the text of its job yet or
+/// knows that the job has finished.
 pub async fn carry_out<W: WorkerClient>(
     node: &JobNode,
     workers: &W,
@@ -267,11 +275,11 @@
     let is_for_this_incarnation = batch.stamp.incarnation == node.incarnation;
     let is_late = node.now() > batch.stamp.sent_ms + STALE_BATCH_MS;
     if !is_for_this_incarnation || is_late || node.is_stopping() {
-        warn!(node.logger, "a batch of starts is not begun"; "starts" => batch.starts.len(),
+        warn!(node.logger, "batch of starts rejected"; "starts" => batch.starts.len(),
             "is_late" => is_late, "is_of_another_life" => !is_for_this_incarnation);
         return Some(vec![DelegatedOutcome::NotSent; batch.starts.len()]);
     }
-    info!(node.logger, "carrying out starts"; "tasks" => %TaskNames(&batch.starts),
+    info!(node.logger, "sending starts for the leader"; "tasks" => %TaskNames(&batch.starts),
         "since_sent_ms" => node.now().saturating_sub(batch.stamp.sent_ms));
     let mut outcomes = vec![DelegatedOutcome::NotSent; batch.starts.len()];
     let mut calls = JoinSet::new();
@@ -279,7 +287,7 @@
         let Some(payload) = job_payload(node, &start.task) else { continue };
         let (target, call) = start_call(start, payload);
         let workers = workers.clone();
-        // A call that panics may have been sent.
+        // Stays if the call panics: it may have been sent by then.
         outcomes[position] = DelegatedOutcome::Unknown;
         calls.spawn(async move { (position, workers.start(&target, &call, START_TIMEOUT).await) });
     }
@@ -295,7 +303,7 @@
     Some(outcomes)
 }
 
-/// Tasks and runs of a batch, for a log line.
+/// Formats the tasks and runs of a batch for a log line.
 struct TaskNames<'a>(&'a [DelegatedStart]);
 
 impl fmt::Display for TaskNames<'_> {
@@ -308,8 +316,8 @@
     }
 }
 
-/// Text of a task's job, if the book has it and does not show the job as over: the leader may learn later than
-/// this entry that it was cancelled.
+/// Returns the text of a task's job if the job table has it and the job is not finished: the leader
+/// may learn of a cancellation later than this entry.
 fn job_payload(node: &JobNode, task: &TaskKey) -> Option<Arc<str>> {
     let table = node.job_table();
     let job = table.get(task.job)?;
@@ -337,13 +345,13 @@
     HttpCall { method: Method::POST, path, headers, body: Bytes::from(body) }
 }
 
-/// Offers this entry to the leader.
+/// Periodically offers this entry to the leader as an executor.
 pub struct OfferLoop {
-    /// Shared state.
+    /// Shared state of this entry.
     pub node: Arc<JobNode>,
-    /// Reaches other entries.
+    /// Transport to other entries.
     pub transport: HttpTransport,
-    /// When the latest offer was made, in milliseconds.
+    /// Time of the latest offer, in milliseconds.
     pub offered_ms: Option<u64>,
 }
 
@@ -351,8 +359,9 @@
     const NAME: &'static str = "offer";
 
     async fn step(&mut self) -> Duration {
-        // Whoever carries out starts offers often; of the others the leader needs to know that they are there. One that the
-        // log turns away learns by it whether the leader stores for it.
+        // An entry that can carry out starts offers often. For any other entry, the leader needs to
+        // know only that it exists. An entry that the log does not answer learns from the answer to
+        // its offer whether the leader can store records for it.
         let interval_ms = match (self.node.is_log_silent(), self.node.is_replica()) {
             (true, _) => LOG_UNREACHABLE_OFFER_INTERVAL_MS,
             (false, true) => OFFER_INTERVAL_MS,
@@ -367,7 +376,8 @@
             let body = postcard::to_stdvec(&self.node.offer()).unwrap_or_default();
             let answer =
                 self.transport.exchange(leader, post(OFFER_PATH, body), OFFER_TIMEOUT).await;
-            // The next offer follows anyhow; who leads is found out elsewhere.
+            // A failure needs no handling: the next offer follows anyway, and the leader is
+            // determined elsewhere.
             if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 self.node.record_store();
             }
@@ -376,7 +386,8 @@
     }
 }
 
-/// Takes another entry's offer; false if it can't be read, or this entry does not lead or can't store for others now.
+/// Records another entry's offer. Returns false if it is malformed, or if this entry is not the leader
+/// or cannot store records for others at present.
 pub fn take_offer(node: &JobNode, body: &[u8]) -> bool {
     let Ok(offer) = postcard::from_bytes::<ExecutorOffer>(body) else { return false };
     let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
