--- a/tests/scheduler_caps.rs
+++ b/tests/scheduler_caps.rs
@@ -168,7 +168,7 @@
     config.access = Some(AccessTable::from(shared.collect::<Vec<_>>()));
     let mut sim = SchedulerSim::open(config, workers(1));
     let busy = submit_job(&mut sim, 1, None, job(vec![step(8)]));
-    let beyond_share: Vec<JobId> =
+    let east: Vec<JobId> =
         (10..18).map(|id| submit_job(&mut sim, id, Some("east"), job(vec![step(1)]))).collect();
     let west: Vec<JobId> =
         (20..22).map(|id| submit_job(&mut sim, id, Some("west"), job(vec![step(2)]))).collect();
@@ -178,11 +178,7 @@
     sim.advance(100);
     let running_in_all = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
     assert_eq!(
-        (
-            running_in_all(&beyond_share[..2]),
-            running_in_all(&west),
-            running_in_all(&beyond_share[2..])
-        ),
+        (running_in_all(&east[..2]), running_in_all(&west), running_in_all(&east[2..])),
         (2, 4, 0)
     );
     for index in 6..8 {
@@ -190,7 +186,7 @@
     }
     sim.advance(100);
     let running_in_all = |ids: &[JobId]| ids.iter().map(|id| running(&sim, *id)).sum::<usize>();
-    assert_eq!(running_in_all(&beyond_share[2..]), 2);
+    assert_eq!(running_in_all(&east[2..]), 2);
 }
 
 /// Random runs with caps that rise and fall, full and empty pools, tasks that end, workers that
