--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -191,7 +191,7 @@
 
 impl Scheduler {
     /// Takes over with the state from the log. Every run recorded there may be alive.
-    pub fn open(start: SchedulerStart, book: &JobTable) -> Scheduler {
+    pub fn open(start: SchedulerStart, job_table: &JobTable) -> Scheduler {
         let SchedulerStart { term, bounds, config, predecessor, now, wall_ms, .. } = start;
         // The predecessor extends no lease later than this after its last confirmation.
         let lease_ms = bounds.lease_max_ms * 100 / 98 + 100;
@@ -243,10 +243,10 @@
         };
         scheduler.organisations.configure(&scheduler.config);
         scheduler.register_queues();
-        for (service, lost) in book.losses() {
+        for (service, lost) in job_table.losses() {
             scheduler.losses.restore(service, lost, now, wall_ms);
         }
-        for (id, job) in book.iter() {
+        for (id, job) in job_table.iter() {
             scheduler.restore(*id, job, now, wall_ms);
         }
         scheduler
@@ -461,8 +461,8 @@
                     return;
                 }
                 self.register_queue_of(submission);
-                let booked = LoggedJob::submitted(submission.clone());
-                let Some(mut run) = JobRun::restore(*job, &booked, now) else { return };
+                let logged = LoggedJob::submitted(submission.clone());
+                let Some(mut run) = JobRun::restore(*job, &logged, now) else { return };
                 run.is_beyond_share = !self.is_within_share(submission, now);
                 if submission.spec.schedule.is_none() {
                     let service = self.service_of(&run);
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -610,7 +610,7 @@
             CommandOutcome::Done(WorkerReport { clock_ms, ..WorkerReport::default() })
         } else {
             worker.exits.retain(|exit| exit.number > call.acked_exits);
-            let started_ms = present.rsplit_once('@').and_then(|(_, born)| born.parse().ok());
+            let started_ms = present.rsplit_once('@').and_then(|(_, started)| started.parse().ok());
             CommandOutcome::Done(WorkerReport { started_ms, ..worker.report(now, &gauges) })
         };
         let sent_ms = if worker.is_stale { START_MS } else { now };
