--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -51,7 +51,7 @@
 /// at a time, as a divisor.
 const LEAVING_DIVISOR: usize = 2;
 /// Surplus of VMs from which a pool's services are consolidated: one VM more than is needed leaves
-/// room for the next jobs.
+/// capacity for the next jobs.
 const CONSOLIDATE_SURPLUS: usize = 2;
 /// Progress of an operation on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -129,8 +129,8 @@
 }
 
 impl FleetState {
-    /// Replaces the list by one that was requested at `requested_ms`. It names workers without their
-    /// incarnation; `incarnations` has the newest one of each.
+    /// Replaces the list by one that was requested at `requested_ms`. The list names workers
+    /// without their incarnation; `incarnations` has the newest one of each.
     pub(crate) fn update_list(
         &mut self,
         vms: Vec<VmEntry>,
@@ -201,7 +201,7 @@
         self.fleet.list_pause_end_ms = now + list_pause_ms;
     }
 
-    /// Advances everything about VMs: the list, the operations in progress, the waves and the pools.
+    /// Advances the VM list, the operations in progress, the waves and the pools.
     pub(crate) fn plan_fleet(&mut self, now: u64) {
         self.request_list(now);
         self.advance_operations(now);
--- a/tests/order_bounds.rs
+++ b/tests/order_bounds.rs
@@ -45,7 +45,7 @@
 }
 
 /// Guards against a start that was sent to one incarnation of a worker and is accepted by the next
-/// one, whose clock starts anew, long after the cancellation of its job was acknowledged.
+/// one, whose clock starts at zero, long after the cancellation of its job was acknowledged.
 #[test]
 fn a_delayed_start_is_refused_by_the_next_incarnation_of_its_worker() {
     let mut sim = SchedulerSim::open_with_incarnations(config(), vec![worker("w1", "r1")]);
