--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -30,10 +30,10 @@
 use crate::scheduler::runs::RunCommand;
 
 /// Time for a start or throttle to be answered.
-const COMMAND_PATIENCE: Duration = Duration::from_millis(450);
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(450);
 /// Time for a stop to be answered: where answers wait in a line of ours, a shorter one would give it up before it is
 /// sent, again and again.
-const STOP_PATIENCE: Duration = Duration::from_millis(1_500);
+const STOP_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Stops of one worker that are under way at a time.
 const STOPS_MAX: usize = 8;
 /// Time for which a stop waits for the one before it: where answers come at once, they share a connection.
@@ -42,12 +42,12 @@
 const LATE_READS_MAX: usize = 2;
 /// Part of our link that starts may take while other entries can carry them out: renewals and the log need
 /// the rest.
-const DIRECT_LINK_PART: u64 = 8;
+const DIRECT_LINK_DIVISOR: u64 = 8;
 /// Longest time that a start waits for an executor while none takes any: as long as one without an answer is passed
 /// over.
-const EXECUTOR_WAIT: Duration = Duration::from_millis(1_500);
+const EXECUTOR_WAIT_MAX: Duration = Duration::from_millis(1_500);
 /// Time between two looks at whether one does.
-const EXECUTOR_LOOK: Duration = Duration::from_millis(20);
+const EXECUTOR_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Bytes of a start beside its job's text, on the wire.
 const START_BYTES: usize = 400;
 
@@ -66,30 +66,30 @@
 #[derive(Clone, Copy, Debug)]
 enum StopOrder {
     /// If it still is when its turn has come.
-    Booked(TaskKey, u32),
+    Tracked(TaskKey, u32),
     /// One that is on no book.
-    Unbooked(RunCall),
+    Untracked(RunCall),
 }
 
 impl StopOrder {
     fn key(&self) -> (TaskKey, u32) {
         match self {
-            StopOrder::Booked(task, run) => (*task, *run),
-            StopOrder::Unbooked(call) => (call.task, call.run),
+            StopOrder::Tracked(task, run) => (*task, *run),
+            StopOrder::Untracked(call) => (call.task, call.run),
         }
     }
 }
 
 /// Stops that wait to be sent to a worker.
 #[derive(Clone)]
-struct StopLine {
+struct StopQueue {
     orders: mpsc::UnboundedSender<StopOrder>,
-    stopping: CommandedRuns,
+    pending_stops: PendingRuns,
 }
 
-impl StopLine {
+impl StopQueue {
     fn push(&self, order: StopOrder) {
-        if self.stopping.insert(order.key()) {
+        if self.pending_stops.insert(order.key()) {
             // The lane ends only with its worker, whose runs are then over.
             let _ = self.orders.send(order);
         }
@@ -98,9 +98,9 @@
 
 /// Runs with a command of one kind that waits or is under way: the same one again would add nothing.
 #[derive(Clone, Default)]
-struct CommandedRuns(Arc<Mutex<BTreeSet<(TaskKey, u32)>>>);
+struct PendingRuns(Arc<Mutex<BTreeSet<(TaskKey, u32)>>>);
 
-impl CommandedRuns {
+impl PendingRuns {
     fn insert(&self, key: (TaskKey, u32)) -> bool {
         self.lock().insert(key)
     }
@@ -124,12 +124,12 @@
 #[derive(Clone)]
 struct WorkerLane {
     wake: Arc<Notify>,
-    stops: StopLine,
+    stops: StopQueue,
     throttles: mpsc::UnboundedSender<(RunCall, u32)>,
     starts: mpsc::UnboundedSender<(TaskKey, u32)>,
     /// Runs with a start that waits.
-    starting: CommandedRuns,
-    renewing: AbortHandle,
+    pending_starts: PendingRuns,
+    renewal_task: AbortHandle,
 }
 
 /// The lanes of all workers.
@@ -148,7 +148,8 @@
     /// No lane yet, and what hands starts to executors, to be run beside them.
     pub fn open(node: Arc<JobNode>, workers: W) -> (Arc<WorkerLanes<W>>, StartDelegate) {
         let (delegate, orders) = StartDelegate::open(node.clone());
-        let direct_bytes = Mutex::new(ByteBudget::with_rate(node.settings.link / DIRECT_LINK_PART));
+        let direct_bytes =
+            Mutex::new(ByteBudget::with_rate(node.settings.link / DIRECT_LINK_DIVISOR));
         let lanes = WorkerLanes {
             node,
             workers,
@@ -181,7 +182,7 @@
     /// same worker would take it for its own, and forget exits by numbers of the one before.
     pub fn forget(&self, worker: &str) {
         if let Some(lane) = self.lock().remove(worker) {
-            lane.renewing.abort();
+            lane.renewal_task.abort();
         }
     }
 
@@ -196,12 +197,12 @@
         // The lane ends only with its worker, whose runs are then over.
         match command {
             LaneCommand::Run(task, run) if self.is_starting(&task, run) => {
-                if lane.starting.insert((task, run)) {
+                if lane.pending_starts.insert((task, run)) {
                     let _ = lane.starts.send((task, run));
                 }
             }
-            LaneCommand::Run(task, run) => lane.stops.push(StopOrder::Booked(task, run)),
-            LaneCommand::Stop(call) => lane.stops.push(StopOrder::Unbooked(call)),
+            LaneCommand::Run(task, run) => lane.stops.push(StopOrder::Tracked(task, run)),
+            LaneCommand::Stop(call) => lane.stops.push(StopOrder::Untracked(call)),
             LaneCommand::Throttle(call, percent) => {
                 let _ = lane.throttles.send((call, percent));
             }
@@ -224,18 +225,22 @@
             return lane.clone();
         }
         let (orders, stop_orders) = mpsc::unbounded_channel();
-        let stops = StopLine { orders, stopping: CommandedRuns::default() };
-        let (throttles, throttling) = mpsc::unbounded_channel();
+        let stops = StopQueue { orders, pending_stops: PendingRuns::default() };
+        let (throttles, throttle_orders) = mpsc::unbounded_channel();
         let (starts, start_orders) = mpsc::unbounded_channel();
-        let starting = CommandedRuns::default();
+        let pending_starts = PendingRuns::default();
         let (id, wake) = (target.id.clone(), Arc::new(Notify::new()));
-        let renewing = tasks.spawn(self.clone().renew(id.clone(), wake.clone()));
-        tasks.spawn(self.clone().send_stops(id.clone(), stop_orders, stops.stopping.clone()));
-        tasks.spawn(self.clone().send_throttles(id.clone(), throttling));
-        let starts_task =
-            self.clone().send_starts(id.clone(), start_orders, starting.clone(), stops.clone());
+        let renewal_task = tasks.spawn(self.clone().renew(id.clone(), wake.clone()));
+        tasks.spawn(self.clone().send_stops(id.clone(), stop_orders, stops.pending_stops.clone()));
+        tasks.spawn(self.clone().send_throttles(id.clone(), throttle_orders));
+        let starts_task = self.clone().send_starts(
+            id.clone(),
+            start_orders,
+            pending_starts.clone(),
+            stops.clone(),
+        );
         tasks.spawn(starts_task);
-        let lane = WorkerLane { wake, stops, throttles, starts, starting, renewing };
+        let lane = WorkerLane { wake, stops, throttles, starts, pending_starts, renewal_task };
         lanes.insert(id, lane.clone());
         lane
     }
@@ -245,7 +250,7 @@
         self: Arc<Self>,
         id: Arc<str>,
         mut orders: mpsc::UnboundedReceiver<StopOrder>,
-        stopping: CommandedRuns,
+        pending_stops: PendingRuns,
     ) {
         let mut stops = JoinSet::new();
         while let Some(order) = orders.recv().await {
@@ -258,13 +263,13 @@
                 stops.join_next().await;
             }
             let Some((target, call)) = self.stop_call(&id, order) else {
-                stopping.remove(order.key());
+                pending_stops.remove(order.key());
                 continue;
             };
-            let (lanes, stopping) = (self.clone(), stopping.clone());
+            let (lanes, pending_stops) = (self.clone(), pending_stops.clone());
             stops.spawn(async move {
                 lanes.send_stop(&target, &call).await;
-                stopping.remove(order.key());
+                pending_stops.remove(order.key());
             });
         }
         while stops.join_next().await.is_some() {}
@@ -273,11 +278,11 @@
     /// What stops a run now, if it is still to be stopped.
     fn stop_call(&self, id: &Arc<str>, order: StopOrder) -> Option<(WorkerTarget, RunCall)> {
         match order {
-            StopOrder::Booked(task, run) => match self.command(id, &task, run)? {
+            StopOrder::Tracked(task, run) => match self.command(id, &task, run)? {
                 (target, RunCommand::Stop(call)) => Some((target, call)),
                 (_, RunCommand::Start(_)) => None,
             },
-            StopOrder::Unbooked(call) => Some((self.target(id)?, call)),
+            StopOrder::Untracked(call) => Some((self.target(id)?, call)),
         }
     }
 
@@ -289,7 +294,7 @@
     ) {
         while let Some((call, percent)) = throttles.recv().await {
             let Some(target) = self.target(&id) else { continue };
-            let outcome = self.workers.throttle(&target, &call, percent, COMMAND_PATIENCE).await;
+            let outcome = self.workers.throttle(&target, &call, percent, COMMAND_TIMEOUT).await;
             let is_done = matches!(outcome, CommandOutcome::Done(_));
             self.node.with_scheduler(|scheduler| scheduler.handle_throttle_outcome(&call, is_done));
             self.node.wake.notify_one();
@@ -301,16 +306,16 @@
         self: Arc<Self>,
         id: Arc<str>,
         mut starts: mpsc::UnboundedReceiver<(TaskKey, u32)>,
-        starting: CommandedRuns,
-        stops: StopLine,
+        pending_starts: PendingRuns,
+        stops: StopQueue,
     ) {
         while let Some((task, run)) = starts.recv().await {
             let is_due = self.is_starting(&task, run);
             if is_due {
-                self.send_run(&id, &stops, &task, run).await;
+                self.send_pending_start(&id, &stops, &task, run).await;
             }
             // Before the scheduler is woken: it may hand the same start out again at once.
-            starting.remove((task, run));
+            pending_starts.remove((task, run));
             if is_due {
                 self.node.wake.notify_one();
             }
@@ -333,7 +338,7 @@
     }
 
     /// Sends a start when there is room for it, if it is still wanted then.
-    async fn send_run(&self, id: &str, stops: &StopLine, task: &TaskKey, run: u32) {
+    async fn send_pending_start(&self, id: &str, stops: &StopQueue, task: &TaskKey, run: u32) {
         let route = self.start_route().await;
         match (self.command(id, task, run), route) {
             (Some((target, RunCommand::Start(call))), StartRoute::Direct(permit)) => {
@@ -344,7 +349,7 @@
             (Some((target, RunCommand::Start(call))), StartRoute::Delegated) => {
                 self.delegate(&target, call);
             }
-            (Some((_, RunCommand::Stop(_))), _) => stops.push(StopOrder::Booked(*task, run)),
+            (Some((_, RunCommand::Stop(_))), _) => stops.push(StopOrder::Tracked(*task, run)),
             (None, _) => {}
         }
     }
@@ -355,21 +360,21 @@
     /// Where executors have their fill or did not answer just now, it waits for them: our link may be why they
     /// did not, and starts of our own would fill it further.
     async fn start_route(&self) -> StartRoute<'_> {
-        let waited = Instant::now();
+        let wait_started = Instant::now();
         loop {
             let now = self.node.now();
-            let (has_capacity, is_alone) = {
+            let (has_capacity, has_no_executors) = {
                 let executors = self.node.executors();
                 (executors.has_capacity(now), !executors.has_live_offers(now))
             };
-            if is_alone || !has_capacity && waited.elapsed() >= EXECUTOR_WAIT {
+            if has_no_executors || !has_capacity && wait_started.elapsed() >= EXECUTOR_WAIT_MAX {
                 return StartRoute::Direct(self.flow.acquire(|| self.node.now()).await);
             }
             let has_bytes = self.direct_bytes().has_capacity(now);
             match self.flow.try_acquire().filter(|_| has_bytes) {
                 Some(permit) => return StartRoute::Direct(permit),
                 None if has_capacity => return StartRoute::Delegated,
-                None => sleep(EXECUTOR_LOOK).await,
+                None => sleep(EXECUTOR_POLL_INTERVAL).await,
             }
         }
     }
@@ -387,7 +392,7 @@
 
     /// Sends a start; returns whether it was answered.
     async fn send_start(&self, target: &WorkerTarget, call: &StartCall) -> bool {
-        let outcome = self.workers.start(target, call, COMMAND_PATIENCE).await;
+        let outcome = self.workers.start(target, call, COMMAND_TIMEOUT).await;
         count(&self.node.metrics.starts, start_label(&outcome));
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| {
@@ -397,7 +402,7 @@
     }
 
     async fn send_stop(&self, target: &WorkerTarget, call: &RunCall) {
-        let outcome = self.workers.stop(target, call, STOP_PATIENCE).await;
+        let outcome = self.workers.stop(target, call, STOP_TIMEOUT).await;
         let now = self.node.now();
         self.node.with_scheduler(|scheduler| {
             scheduler.handle_stop_outcome(&target.id, &call.task, call.run, &outcome, now);
@@ -408,7 +413,7 @@
     /// Renews a worker's leases until its life is over.
     async fn renew(self: Arc<Self>, id: Arc<str>, wake: Arc<Notify>) {
         // Answers that are read on after their time end with this task.
-        let mut late = JoinSet::new();
+        let mut late_answers = JoinSet::new();
         loop {
             let now = self.node.now();
             let plan = self.node.with_scheduler(|scheduler| scheduler.renew_plan(&id, now));
@@ -418,12 +423,12 @@
                     // Either ends the wait.
                     let _ = timeout(wait, wake.notified()).await;
                 }
-                Some(RenewPlan::Call(target, call, patience)) => {
+                Some(RenewPlan::Call(target, call, call_timeout)) => {
                     let sent_ms = self.node.now();
                     let workers = self.workers.clone();
                     let mut answer =
-                        Box::pin(async move { workers.renew(&target, &call, patience).await });
-                    let outcome = timeout(patience + call.wait, &mut answer).await;
+                        Box::pin(async move { workers.renew(&target, &call, call_timeout).await });
+                    let outcome = timeout(call_timeout + call.wait, &mut answer).await;
                     self.node.metrics.renewals.inc();
                     let is_late = outcome.is_err();
                     let outcome = outcome.unwrap_or(CommandOutcome::Unknown);
@@ -432,11 +437,11 @@
                         scheduler.handle_renewal_outcome(&id, &call, outcome, sent_ms, now);
                     });
                     self.node.wake.notify_one();
-                    while late.try_join_next().is_some() {}
-                    if is_late && late.len() < LATE_READS_MAX {
+                    while late_answers.try_join_next().is_some() {}
+                    if is_late && late_answers.len() < LATE_READS_MAX {
                         let (lanes, id) = (self.clone(), id.clone());
-                        late.spawn(async move {
-                            lanes.read_late(&id, &call, answer.await, sent_ms);
+                        late_answers.spawn(async move {
+                            lanes.record_late_answer(&id, &call, answer.await, sent_ms);
                         });
                     }
                 }
@@ -446,7 +451,7 @@
     }
 
     /// Takes in an answer that came after its time.
-    fn read_late(
+    fn record_late_answer(
         &self,
         id: &Arc<str>,
         call: &RenewCall,
