--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -1,12 +1,13 @@
-//! The way of commands and renewals to each worker.
+//! Lanes: the queues and tasks that carry commands and lease renewals to each worker.
 //!
-//! A worker has four tasks: one renews its leases, one sends its stops, several at a time, one its throttles and one
-//! its starts, one after the other. Starts may wait for the window, and starts and throttles for a worker that does not
-//! answer; a stop behind them would come too late for the job that was cancelled. A stop may overtake the start of its
-//! run: the worker refuses a run that it was told to stop.
+//! Each worker has four tasks. One renews its leases, one sends its stops, several at a time, one sends
+//! its throttles and one its starts, both one after the other. Starts may wait for the command window,
+//! and starts and throttles may wait for a worker that does not answer; a stop queued behind them
+//! would come too late for a cancelled job. A stop may overtake the start of its run: the worker
+//! refuses a run that it was told to stop.
 //!
-//! A lane outlives what was known of its worker when it was opened: each command goes to the address that the
-//! scheduler has when it is sent, and to none where it has no address.
+//! A lane outlives what was known of its worker when the lane was opened. Each command therefore goes
+//! to the address that the scheduler has at the time of sending, and is not sent if there is none.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -29,45 +30,46 @@
 use crate::scheduler::renewals::RenewPlan;
 use crate::scheduler::runs::RunCommand;
 
-/// Time for a start or throttle to be answered.
+/// Timeout of a start or throttle.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(450);
-/// Time for a stop to be answered: where answers wait in a line of ours, a shorter one would give it up before it is
-/// sent, again and again.
+/// Timeout of a stop: where answers wait in a queue of this entry, a shorter timeout would give the
+/// stop up before it is sent, again and again.
 const STOP_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Stops of one worker that are under way at a time.
+/// Maximum number of stops in flight to one worker.
 const STOPS_MAX: usize = 8;
-/// Time for which a stop waits for the one before it: where answers come at once, they share a connection.
+/// Time for which a stop waits for the answers to earlier ones: where answers come at once, stops share a
+/// connection.
 const STOP_STAGGER: Duration = Duration::from_millis(20);
-/// Answers of one worker that are read on at a time after they were given up.
+/// Maximum number of timed-out renewals of one worker whose answers are still awaited.
 const LATE_READS_MAX: usize = 2;
-/// Part of our link that starts may take while other entries can carry them out: renewals and the log need
-/// the rest.
+/// Divisor of the link's rate that gives the share of starts sent by the leader itself while other entries
+/// can send them: renewals and the log need the rest.
 const DIRECT_LINK_DIVISOR: u64 = 8;
-/// Longest time that a start waits for an executor while none takes any: as long as one without an answer is passed
-/// over.
+/// Maximum time for which a start waits for an executor while none has capacity: as long as an executor
+/// that did not answer is passed over.
 const EXECUTOR_WAIT_MAX: Duration = Duration::from_millis(1_500);
-/// Time between two looks at whether one does.
+/// Interval of the checks whether an executor has capacity.
 const EXECUTOR_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes of a start beside its job's text, on the wire.
+/// Size of a start on the wire without the text of its job, in bytes.
 const START_BYTES: usize = 400;
 
-/// A command in a worker's lane.
+/// A command for the lane of a worker.
 #[derive(Clone, Copy, Debug)]
 pub enum LaneCommand {
-    /// What this run needs when its turn has come.
+    /// Start or stop of a run, whichever it needs when the command is sent.
     Run(TaskKey, u32),
-    /// Stop a run that is on no book.
+    /// Stop of a run that the leader does not track.
     Stop(RunCall),
-    /// Let a run work at a share of its speed, in percent.
+    /// Throttle of a run to a share of its speed, in percent.
     Throttle(RunCall, u32),
 }
 
-/// A run to be stopped.
+/// A queued stop.
 #[derive(Clone, Copy, Debug)]
 enum StopOrder {
-    /// If it still is when its turn has come.
+    /// A run known to the leader, stopped only if it still needs to be at the time of sending.
     Tracked(TaskKey, u32),
-    /// One that is on no book.
+    /// A run that the leader does not track.
     Untracked(RunCall),
 }
 
@@ -80,7 +82,7 @@
     }
 }
 
-/// Stops that wait to be sent to a worker.
+/// Queue of the stops of a worker, without duplicates.
 #[derive(Clone)]
 struct StopQueue {
     orders: mpsc::UnboundedSender<StopOrder>,
@@ -90,13 +92,13 @@
 impl StopQueue {
     fn push(&self, order: StopOrder) {
         if self.pending_stops.insert(order.key()) {
-            // The lane ends only with its worker, whose runs are then over.
+            // Fails only if the lane has ended with its worker, whose runs have then ended too.
             let _ = self.orders.send(order);
         }
     }
 }
 
-/// Runs with a command of one kind that waits or is under way: the same one again would add nothing.
+/// Runs with a command of one kind that is queued or in flight: repeating it would have no effect.
 #[derive(Clone, Default)]
 struct PendingRuns(Arc<Mutex<BTreeSet<(TaskKey, u32)>>>);
 
@@ -114,20 +116,20 @@
     }
 }
 
-/// Which way a start goes.
+/// Route of a start to its worker.
 enum StartRoute<'a> {
     Direct(FlowPermit<'a>),
     Delegated,
 }
 
-/// What a worker's tasks are reached by.
+/// Handles to the tasks of a worker.
 #[derive(Clone)]
 struct WorkerLane {
     wake: Arc<Notify>,
     stops: StopQueue,
     throttles: mpsc::UnboundedSender<(RunCall, u32)>,
     starts: mpsc::UnboundedSender<(TaskKey, u32)>,
-    /// Runs with a start that waits.
+    /// Runs whose start is queued or in flight.
     pending_starts: PendingRuns,
     renewal_task: AbortHandle,
 }
@@ -138,14 +140,15 @@
     workers: W,
     lanes: Mutex<HashMap<Arc<str>, WorkerLane>>,
     flow: CommandFlow,
-    /// Bytes of starts that we send ourselves while there are executors.
+    /// Budget of the bytes of starts that the leader sends itself while there are executors.
     direct_bytes: Mutex<ByteBudget>,
-    /// Starts for executors.
+    /// Starts that go to executors.
     orders: mpsc::UnboundedSender<StartOrder>,
 }
 
 impl<W: WorkerClient> WorkerLanes<W> {
-    /// No lane yet, and what hands starts to executors, to be run beside them.
+    /// Creates the set without any lane, and the delegate for starts that go through executors, which is
+    /// to run concurrently.
     pub fn open(node: Arc<JobNode>, workers: W) -> (Arc<WorkerLanes<W>>, StartDelegate) {
         let (delegate, orders) = StartDelegate::open(node.clone());
         let direct_bytes =
@@ -161,32 +164,34 @@
         (Arc::new(lanes), delegate)
     }
 
-    /// How commands get through.
+    /// Flow control of the commands.
     pub fn flow(&self) -> &CommandFlow {
         &self.flow
     }
 
-    /// Keeps renewing the leases of a worker, in `tasks`.
+    /// Starts renewing the leases of a worker, in `tasks`.
     pub fn watch(self: &Arc<Self>, target: &WorkerTarget, tasks: &mut JoinSet<()>) {
         self.lane(target, tasks).wake.notify_one();
     }
 
-    /// Renews the leases of a worker at once.
+    /// Wakes the renewal task of a worker, so that it renews the leases at once.
     pub fn wake(&self, worker: &str) {
         if let Some(lane) = self.lock().get(worker) {
             lane.wake.notify_one();
         }
     }
 
-    /// Drops the renewal of a worker's life that is under way, and whatever waits for it. The next life of the
-    /// same worker would take it for its own, and forget exits by numbers of the one before.
+    /// Cancels the renewal in flight to a worker's incarnation, with everything that waits for its answer.
+    /// The next incarnation of the same worker would take the renewal for its own, and forget exits by
+    /// the numbers of the previous incarnation.
     pub fn forget(&self, worker: &str) {
         if let Some(lane) = self.lock().remove(worker) {
             lane.renewal_task.abort();
         }
     }
 
-    /// Hands a command to the lane of a worker, whose tasks are in `tasks`.
+    /// Queues a command in the lane of a worker, whose tasks run in `tasks`. A start or stop that is queued
+    /// or in flight is not queued again.
     pub fn send(
         self: &Arc<Self>,
         target: &WorkerTarget,
@@ -194,7 +199,7 @@
         tasks: &mut JoinSet<()>,
     ) {
         let lane = self.lane(target, tasks);
-        // The lane ends only with its worker, whose runs are then over.
+        // Sending fails only if the lane has ended with its worker, whose runs have then ended too.
         match command {
             LaneCommand::Run(task, run) if self.is_starting(&task, run) => {
                 if lane.pending_starts.insert((task, run)) {
@@ -218,7 +223,7 @@
         self.lanes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The lane of a worker; its tasks are started with it.
+    /// Returns the lane of a worker; opens it and spawns its tasks if there is none.
     fn lane(self: &Arc<Self>, target: &WorkerTarget, tasks: &mut JoinSet<()>) -> WorkerLane {
         let mut lanes = self.lock();
         if let Some(lane) = lanes.get(&target.id) {
@@ -245,7 +250,7 @@
         lane
     }
 
-    /// Sends a worker's stops, several at a time.
+    /// Sends the stops of a worker, at most [`STOPS_MAX`] at a time.
     async fn send_stops(
         self: Arc<Self>,
         id: Arc<str>,
@@ -256,7 +261,7 @@
         while let Some(order) = orders.recv().await {
             while stops.try_join_next().is_some() {}
             if !stops.is_empty() {
-                // Either ends the wait.
+                // An answer or the timeout ends the wait.
                 let _ = timeout(STOP_STAGGER, stops.join_next()).await;
             }
             while stops.len() >= STOPS_MAX {
@@ -275,7 +280,7 @@
         while stops.join_next().await.is_some() {}
     }
 
-    /// What stops a run now, if it is still to be stopped.
+    /// Returns the call that stops a run, if the run is still to be stopped and its worker has an address.
     fn stop_call(&self, id: &Arc<str>, order: StopOrder) -> Option<(WorkerTarget, RunCall)> {
         match order {
             StopOrder::Tracked(task, run) => match self.command(id, &task, run)? {
@@ -286,7 +291,7 @@
         }
     }
 
-    /// Sends a worker's throttles one after the other: a later share must not be overtaken by an earlier one.
+    /// Sends the throttles of a worker one after the other: an earlier share must not overtake a later one.
     async fn send_throttles(
         self: Arc<Self>,
         id: Arc<str>,
@@ -301,7 +306,7 @@
         }
     }
 
-    /// Sends a worker's starts one after the other, here or through an executor.
+    /// Sends the starts of a worker one after the other, directly or through an executor.
     async fn send_starts(
         self: Arc<Self>,
         id: Arc<str>,
@@ -314,7 +319,7 @@
             if is_due {
                 self.send_pending_start(&id, &stops, &task, run).await;
             }
-            // Before the scheduler is woken: it may hand the same start out again at once.
+            // Must precede the wake-up of the scheduler, which may issue the same start again at once.
             pending_starts.remove((task, run));
             if is_due {
                 self.node.wake.notify_one();
@@ -322,12 +327,12 @@
         }
     }
 
-    /// Where calls reach a worker now.
+    /// Returns the current address of a worker.
     fn target(&self, id: &str) -> Option<WorkerTarget> {
         self.node.with_scheduler(|scheduler| scheduler.target_of(id)).flatten()
     }
 
-    /// What a run needs now, and where that goes.
+    /// Returns the command that a run needs now, and its worker.
     fn command(&self, id: &str, task: &TaskKey, run: u32) -> Option<(WorkerTarget, RunCommand)> {
         let now = self.node.now();
         let command = self.node.with_scheduler(|scheduler| {
@@ -337,7 +342,8 @@
         command.flatten()
     }
 
-    /// Sends a start when there is room for it, if it is still wanted then.
+    /// Sends a start once there is capacity for it, if it is still due then. If the run is to be stopped by
+    /// then, queues the stop.
     async fn send_pending_start(&self, id: &str, stops: &StopQueue, task: &TaskKey, run: u32) {
         let route = self.start_route().await;
         match (self.command(id, task, run), route) {
@@ -354,11 +360,12 @@
         }
     }
 
-    /// Which way the next start goes: from here while our link and the window have room to spare, else
-    /// through an executor; without one it waits for the window.
+    /// Chooses the route of the next start: direct while this entry's link and the command window have
+    /// spare capacity, otherwise through an executor. Without any executor the start waits for the window.
     ///
-    /// Where executors have their fill or did not answer just now, it waits for them: our link may be why they
-    /// did not, and starts of our own would fill it further.
+    /// While all executors are full or did not answer recently, the start waits for them, for
+    /// [`EXECUTOR_WAIT_MAX`] at most: this entry's link may be the reason why they did not answer, and
+    /// direct starts would load it further.
     async fn start_route(&self) -> StartRoute<'_> {
         let wait_started = Instant::now();
         loop {
@@ -382,7 +389,7 @@
     fn delegate(&self, target: &WorkerTarget, call: StartCall) {
         let centre = self.node.with_scheduler(|scheduler| scheduler.centre_of(&target.id));
         let centre = centre.flatten().unwrap_or_default();
-        // It runs as long as this leadership.
+        // Cannot fail: the delegate runs as long as this leadership.
         let _ = self.orders.send(StartOrder { target: target.clone(), centre, call });
     }
 
@@ -390,7 +397,7 @@
         self.direct_bytes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a start; returns whether it was answered.
+    /// Sends a start directly and reports its outcome to the scheduler. Returns whether it was answered.
     async fn send_start(&self, target: &WorkerTarget, call: &StartCall) -> bool {
         let outcome = self.workers.start(target, call, COMMAND_TIMEOUT).await;
         count(&self.node.metrics.starts, start_label(&outcome));
@@ -410,9 +417,9 @@
         self.node.wake.notify_one();
     }
 
-    /// Renews a worker's leases until its life is over.
+    /// Renews the leases of a worker until its incarnation has ended or it is no longer listed.
     async fn renew(self: Arc<Self>, id: Arc<str>, wake: Arc<Notify>) {
-        // Answers that are read on after their time end with this task.
+        // Renewals that timed out and are still awaited; dropped when this task ends.
         let mut late_answers = JoinSet::new();
         loop {
             let now = self.node.now();
@@ -420,7 +427,7 @@
             match plan {
                 None | Some(RenewPlan::Stop) => break,
                 Some(RenewPlan::Wait(wait)) => {
-                    // Either ends the wait.
+                    // A wake-up or the timeout ends the wait.
                     let _ = timeout(wait, wake.notified()).await;
                 }
                 Some(RenewPlan::Call(target, call, call_timeout)) => {
@@ -450,7 +457,7 @@
         self.lock().remove(&id);
     }
 
-    /// Takes in an answer that came after its time.
+    /// Reports an answer to a renewal that came after its timeout to the scheduler.
     fn record_late_answer(
         &self,
         id: &Arc<str>,
