--- a/src/jobs/delegate.rs
+++ b/src/jobs/delegate.rs
@@ -1,8 +1,8 @@
 //! Delegation of starts: other entries (executors) send starts to workers for the leader.
 //!
-//! The leader sends an executor batches of starts without the text of their jobs. The executor takes
-//! that text from its replica of the job log, calls the workers and answers with the outcome of each
-//! start. The leader makes every decision and every other call to a worker itself.
+//! The leader sends an executor batches of starts without the text of their jobs. The executor
+//! takes that text from its replica of the job log, calls the workers and answers with the outcome
+//! of each start. The leader makes every decision and every other call to a worker itself.
 //!
 //! A start that an executor sends late has the effect of a start that the worker receives late. The
 //! worker accepts a run once, and refuses it after a stop, after the lease has expired or if it has
@@ -47,15 +47,15 @@
 const LOG_UNREACHABLE_OFFER_INTERVAL_MS: u64 = 500;
 /// Timeout of an offer.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Delay in which starts are collected into a batch: a commit releases many starts at once, and each
-/// batch costs 0.3 KB.
+/// Delay in which starts are collected into a batch: a commit releases many starts at once, and
+/// each batch costs 0.3 KB.
 const BATCH_DELAY: Duration = Duration::from_millis(6);
 /// Timeout of a start that an executor sends to a worker.
 const START_TIMEOUT: Duration = Duration::from_millis(450);
 /// Timeout of a batch.
 const BATCH_TIMEOUT: Duration = Duration::from_millis(900);
-/// Age above which an executor does not begin a batch, in milliseconds: the leader has given it up and
-/// may have sent its starts another way.
+/// Age above which an executor does not begin a batch, in milliseconds: the leader has given it up
+/// and may have sent its starts another way.
 const STALE_BATCH_MS: u64 = 1_200;
 
 /// A start without the text of its job.
@@ -120,14 +120,16 @@
 }
 
 impl StartDelegate {
-    /// Creates a delegate, on which [`StartDelegate::run`] is to be called, and the sender of its orders.
+    /// Creates a delegate, on which [`StartDelegate::run`] is to be called, and the sender of its
+    /// orders.
     pub fn open(node: Arc<JobNode>) -> (StartDelegate, mpsc::UnboundedSender<StartOrder>) {
         let (sender, orders) = mpsc::unbounded_channel();
         let transport = HttpTransport::open().metered(node.metrics.traffic.clone());
         (StartDelegate { node, transport, orders }, sender)
     }
 
-    /// Processes orders until every sender is dropped. Batches in flight are cancelled when it returns.
+    /// Processes orders until every sender is dropped. Batches in flight are cancelled when it
+    /// returns.
     pub async fn run(mut self) {
         let mut batches = JoinSet::new();
         let mut turn = 0_usize;
@@ -261,11 +263,11 @@
     node.wake.notify_one();
 }
 
-/// Sends the starts of a batch from the leader to their workers and returns the outcomes, or `None` if
-/// the batch is malformed.
+/// Sends the starts of a batch from the leader to their workers and returns the outcomes, or `None`
+/// if the batch is malformed.
 ///
-/// A start is left to the leader, as not sent, if this entry does not have the text of its job yet or
-/// knows that the job has finished.
+/// A start is left to the leader, as not sent, if this entry does not have the text of its job yet
+/// or knows that the job has finished.
 pub async fn carry_out<W: WorkerClient>(
     node: &JobNode,
     workers: &W,
@@ -386,8 +388,8 @@
     }
 }
 
-/// Records another entry's offer. Returns false if it is malformed, or if this entry is not the leader
-/// or cannot store records for others at present.
+/// Records another entry's offer. Returns false if it is malformed, or if this entry is not the
+/// leader or cannot store records for others at present.
 pub fn take_offer(node: &JobNode, body: &[u8]) -> bool {
     let Ok(offer) = postcard::from_bytes::<ExecutorOffer>(body) else { return false };
     let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
--- a/src/jobs/lanes.rs
+++ b/src/jobs/lanes.rs
@@ -1,13 +1,14 @@
 //! Lanes: the queues and tasks that carry commands and lease renewals to each worker.
 //!
-//! Each worker has four tasks. One renews its leases, one sends its stops, several at a time, one sends
-//! its throttles and one its starts, both one after the other. Starts may wait for the command window,
-//! and starts and throttles may wait for a worker that does not answer; a stop queued behind them
-//! would come too late for a cancelled job. A stop may overtake the start of its run: the worker
-//! refuses a run that it was told to stop.
+//! Each worker has four tasks. One renews its leases, one sends its stops, several at a time, one
+//! sends its throttles and one its starts, both one after the other. Starts may wait for the
+//! command window, and starts and throttles may wait for a worker that does not answer; a stop
+//! queued behind them would come too late for a cancelled job. A stop may overtake the start of its
+//! run: the worker refuses a run that it was told to stop.
 //!
-//! A lane outlives what was known of its worker when the lane was opened. Each command therefore goes
-//! to the address that the scheduler has at the time of sending, and is not sent if there is none.
+//! A lane outlives what was known of its worker when the lane was opened. Each command therefore
+//! goes to the address that the scheduler has at the time of sending, and is not sent if there is
+//! none.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -37,16 +38,16 @@
 const STOP_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Maximum number of stops in flight to one worker.
 const STOPS_MAX: usize = 8;
-/// Time for which a stop waits for the answers to earlier ones: where answers come at once, stops share a
-/// connection.
+/// Time for which a stop waits for the answers to earlier ones: where answers come at once, stops
+/// share a connection.
 const STOP_STAGGER: Duration = Duration::from_millis(20);
 /// Maximum number of timed-out renewals of one worker whose answers are still awaited.
 const LATE_READS_MAX: usize = 2;
-/// Divisor of the link's rate that gives the share of starts sent by the leader itself while other entries
-/// can send them: renewals and the log need the rest.
+/// Divisor of the link's rate that gives the share of starts sent by the leader itself while other
+/// entries can send them: renewals and the log need the rest.
 const DIRECT_LINK_DIVISOR: u64 = 8;
-/// Maximum time for which a start waits for an executor while none has capacity: as long as an executor
-/// that did not answer is passed over.
+/// Maximum time for which a start waits for an executor while none has capacity: as long as an
+/// executor that did not answer is passed over.
 const EXECUTOR_WAIT_MAX: Duration = Duration::from_millis(1_500);
 /// Interval of the checks whether an executor has capacity.
 const EXECUTOR_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -147,8 +148,8 @@
 }
 
 impl<W: WorkerClient> WorkerLanes<W> {
-    /// Creates the set without any lane, and the delegate for starts that go through executors, which is
-    /// to run concurrently.
+    /// Creates the set without any lane, and the delegate for starts that go through executors,
+    /// which is to run concurrently.
     pub fn open(node: Arc<JobNode>, workers: W) -> (Arc<WorkerLanes<W>>, StartDelegate) {
         let (delegate, orders) = StartDelegate::open(node.clone());
         let direct_bytes =
@@ -181,17 +182,17 @@
         }
     }
 
-    /// Cancels the renewal in flight to a worker's incarnation, with everything that waits for its answer.
-    /// The next incarnation of the same worker would take the renewal for its own, and forget exits by
-    /// the numbers of the previous incarnation.
+    /// Cancels the renewal in flight to a worker's incarnation, with everything that waits for its
+    /// answer. The next incarnation of the same worker would take the renewal for its own, and
+    /// forget exits by the numbers of the previous incarnation.
     pub fn forget(&self, worker: &str) {
         if let Some(lane) = self.lock().remove(worker) {
             lane.renewal_task.abort();
         }
     }
 
-    /// Queues a command in the lane of a worker, whose tasks run in `tasks`. A start or stop that is queued
-    /// or in flight is not queued again.
+    /// Queues a command in the lane of a worker, whose tasks run in `tasks`. A start or stop that
+    /// is queued or in flight is not queued again.
     pub fn send(
         self: &Arc<Self>,
         target: &WorkerTarget,
@@ -280,7 +281,8 @@
         while stops.join_next().await.is_some() {}
     }
 
-    /// Returns the call that stops a run, if the run is still to be stopped and its worker has an address.
+    /// Returns the call that stops a run, if the run is still to be stopped and its worker has an
+    /// address.
     fn stop_call(&self, id: &Arc<str>, order: StopOrder) -> Option<(WorkerTarget, RunCall)> {
         match order {
             StopOrder::Tracked(task, run) => match self.command(id, &task, run)? {
@@ -291,7 +293,8 @@
         }
     }
 
-    /// Sends the throttles of a worker one after the other: an earlier share must not overtake a later one.
+    /// Sends the throttles of a worker one after the other: an earlier share must not overtake a
+    /// later one.
     async fn send_throttles(
         self: Arc<Self>,
         id: Arc<str>,
@@ -319,7 +322,8 @@
             if is_due {
                 self.send_pending_start(&id, &stops, &task, run).await;
             }
-            // Must precede the wake-up of the scheduler, which may issue the same start again at once.
+            // Must precede the wake-up of the scheduler, which may issue the same start again at
+            // once.
             pending_starts.remove((task, run));
             if is_due {
                 self.node.wake.notify_one();
@@ -342,8 +346,8 @@
         command.flatten()
     }
 
-    /// Sends a start once there is capacity for it, if it is still due then. If the run is to be stopped by
-    /// then, queues the stop.
+    /// Sends a start once there is capacity for it, if it is still due then. If the run is to be
+    /// stopped by then, queues the stop.
     async fn send_pending_start(&self, id: &str, stops: &StopQueue, task: &TaskKey, run: u32) {
         let route = self.start_route().await;
         match (self.command(id, task, run), route) {
@@ -360,12 +364,13 @@
         }
     }
 
-    /// Chooses the route of the next start: direct while this entry's link and the command window have
-    /// spare capacity, otherwise through an executor. Without any executor the start waits for the window.
+    /// Chooses the route of the next start: direct while this entry's link and the command window
+    /// have spare capacity, otherwise through an executor. Without any executor the start waits for
+    /// the window.
     ///
     /// While all executors are full or did not answer recently, the start waits for them, for
-    /// [`EXECUTOR_WAIT_MAX`] at most: this entry's link may be the reason why they did not answer, and
-    /// direct starts would load it further.
+    /// [`EXECUTOR_WAIT_MAX`] at most: this entry's link may be the reason why they did not answer,
+    /// and direct starts would load it further.
     async fn start_route(&self) -> StartRoute<'_> {
         let wait_started = Instant::now();
         loop {
@@ -397,7 +402,8 @@
         self.direct_bytes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a start directly and reports its outcome to the scheduler. Returns whether it was answered.
+    /// Sends a start directly and reports its outcome to the scheduler. Returns whether it was
+    /// answered.
     async fn send_start(&self, target: &WorkerTarget, call: &StartCall) -> bool {
         let outcome = self.workers.start(target, call, COMMAND_TIMEOUT).await;
         count(&self.node.metrics.starts, start_label(&outcome));
