--- a/src/jobs/relay.rs
+++ b/src/jobs/relay.rs
@@ -42,7 +42,7 @@
 /// Path of a batch of records.
 const RELAY_PATH: &str = "/relay";
 /// What batches that are taken from other entries are counted as.
-const TAKEN_BATCHES: &str = "/relay-taken";
+const RECEIVED_BATCHES: &str = "/relay-taken";
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 /// Path of the status of an entry, for operators.
@@ -50,22 +50,22 @@
 /// Start of the path of a job's status; its id follows.
 pub const JOB_PATH: &str = "/job/";
 /// Start of the path by which an entry looks a job up in the leader's book; its id follows.
-const LOOK_PATH: &str = "/look/";
+const LOOKUP_PATH: &str = "/look/";
 /// Time for that.
-const LOOK_PATIENCE: Duration = Duration::from_millis(600);
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(600);
 /// Largest batch, in bytes: what an entry puts into one, and its last record.
 const BATCH_BYTES_MAX: usize = 1 << 20;
 /// Time for the leader to answer that it has a batch: it does so at once, or is not reached.
-const TAKEN_PATIENCE: Duration = Duration::from_millis(900);
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time for the leader to store a batch that it has. Where that takes long it is the log that is slow,
 /// and an append of this entry's own would stand in line behind all others'. With one of every entry in
 /// it the line grows longer than callers wait, so that nothing is accepted until the log is fast again.
-const STORE_PATIENCE: Duration = Duration::from_millis(2_500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time between two looks at who leads.
-const LEADER_GAP: Duration = Duration::from_millis(100);
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time for which a leader that did not answer is passed over, in milliseconds: about the time until
 /// its successor is known.
-const PASS_OVER_MS: u64 = 1_000;
+const LEADER_EXCLUSION_MS: u64 = 1_000;
 /// Time for a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a failed accept, as when descriptors have run out.
@@ -94,8 +94,8 @@
 impl KnownJob {
     /// A job by this entry's own book.
     pub fn find(node: &JobNode, id: JobId) -> Option<KnownJob> {
-        let book = node.job_table();
-        let job = book.get(id)?;
+        let table = node.job_table();
+        let job = table.get(id)?;
         let organisation = job.submission.as_ref()?.organisation.clone();
         Some(KnownJob { state: job.state()?, organisation })
     }
@@ -111,33 +111,34 @@
 #[derive(Clone)]
 pub struct RelayClient {
     transport: HttpTransport,
-    passed_over_until_ms: Arc<AtomicU64>,
+    leader_excluded_until_ms: Arc<AtomicU64>,
 }
 
 impl RelayClient {
     /// A client over this transport.
     pub fn new(transport: HttpTransport) -> RelayClient {
-        RelayClient { transport, passed_over_until_ms: Arc::new(AtomicU64::new(0)) }
+        RelayClient { transport, leader_excluded_until_ms: Arc::new(AtomicU64::new(0)) }
     }
 
     /// Has the leader store records, which may be this entry.
     pub async fn store(&self, node: &JobNode, records: Vec<JobRecord>) -> RelayOutcome {
         if let Some(stored) = node.relay(records.clone()) {
             // Another append of this entry would only stand in line behind the leader's.
-            return match timeout(STORE_PATIENCE, stored).await {
+            return match timeout(STORE_TIMEOUT, stored).await {
                 Ok(Ok(())) => RelayOutcome::Stored,
                 Ok(Err(_)) | Err(_) => RelayOutcome::Unknown,
             };
         }
         let Some(leader) = node.leader() else { return RelayOutcome::NotSent };
-        if node.now() < self.passed_over_until_ms.load(Ordering::Relaxed) {
+        if node.now() < self.leader_excluded_until_ms.load(Ordering::Relaxed) {
             return RelayOutcome::NotSent;
         }
         let outcome = self.send(node, leader, &records).await;
         if outcome != RelayOutcome::Stored {
             info!(node.logger, "the leader has not stored a batch"; "leader" => %leader,
                 "records" => records.len(), "outcome" => ?outcome);
-            self.passed_over_until_ms.store(node.now() + PASS_OVER_MS, Ordering::Relaxed);
+            self.leader_excluded_until_ms
+                .store(node.now() + LEADER_EXCLUSION_MS, Ordering::Relaxed);
         }
         outcome
     }
@@ -145,27 +146,27 @@
     /// Waits until there is a leader that may be tried, for `wait` at most; returns whether there is.
     pub async fn wait_for_leader(&self, node: &JobNode, wait: Duration) -> bool {
         let may_try = || {
-            let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()) == Some(true);
-            let is_passed_over = node.now() < self.passed_over_until_ms.load(Ordering::Relaxed);
-            leads || node.leader().is_some() && !is_passed_over
+            let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()) == Some(true);
+            let is_excluded = node.now() < self.leader_excluded_until_ms.load(Ordering::Relaxed);
+            is_leader || node.leader().is_some() && !is_excluded
         };
-        let waited = async {
+        let leader_found = async {
             while !may_try() {
-                sleep(LEADER_GAP).await;
+                sleep(LEADER_POLL_INTERVAL).await;
             }
         };
-        timeout(wait, waited).await.is_ok()
+        timeout(wait, leader_found).await.is_ok()
     }
 
     /// Looks a job up in the leader's book; nothing if the leader can't tell.
     pub async fn look(&self, node: &JobNode, id: JobId) -> Option<Option<KnownJob>> {
         let call = HttpCall {
             method: Method::GET,
-            path: format!("{LOOK_PATH}{id}"),
+            path: format!("{LOOKUP_PATH}{id}"),
             headers: HeaderMap::new(),
             body: Bytes::new(),
         };
-        let answer = self.transport.exchange(node.leader()?, call, LOOK_PATIENCE).await.ok()?;
+        let answer = self.transport.exchange(node.leader()?, call, LOOKUP_TIMEOUT).await.ok()?;
         if answer.status != StatusCode::OK {
             return None;
         }
@@ -189,12 +190,17 @@
             headers: HeaderMap::new(),
             body: Bytes::from(body),
         };
-        let (taken, stored) = (TAKEN_PATIENCE, STORE_PATIENCE);
-        let exchange =
-            self.transport.exchange_sending(leader, call, taken, stored, SendTimeout::default());
+        let (accept_timeout, store_timeout) = (ACCEPT_TIMEOUT, STORE_TIMEOUT);
+        let exchange = self.transport.exchange_sending(
+            leader,
+            call,
+            accept_timeout,
+            store_timeout,
+            SendTimeout::default(),
+        );
         let answer = tokio::select! {
             (answer, _) = exchange => answer,
-            () = succeeded(node, leader) => Err(ExchangeFailure::NoAnswer),
+            () = leader_replaced(node, leader) => Err(ExchangeFailure::NoAnswer),
         };
         match answer {
             Ok(answer) if answer.status == StatusCode::OK => RelayOutcome::Stored,
@@ -210,9 +216,9 @@
 
 /// Ends when `leader` does not lead any more: one that has lost power says nothing, and what waits for
 /// it could be stored by its successor.
-async fn succeeded(node: &JobNode, leader: SocketAddr) {
+async fn leader_replaced(node: &JobNode, leader: SocketAddr) {
     while node.leader() == Some(leader) {
-        sleep(LEADER_GAP).await;
+        sleep(LEADER_POLL_INTERVAL).await;
     }
 }
 
@@ -310,43 +316,42 @@
 ) -> Response<RelayBody> {
     let PeerService { node, workers, reader } = service;
     match request.uri().path() {
-        OFFER_PATH => match body(request, STARTS_BYTES_MAX).await {
-            Ok(body) if delegate::take_offer(node, &body) => bare(StatusCode::OK),
-            Ok(_) => bare(StatusCode::MISDIRECTED_REQUEST),
-            Err(code) => bare(code),
+        OFFER_PATH => match read_body(request, STARTS_BYTES_MAX).await {
+            Ok(body) if delegate::take_offer(node, &body) => status_only(StatusCode::OK),
+            Ok(_) => status_only(StatusCode::MISDIRECTED_REQUEST),
+            Err(code) => status_only(code),
         },
-        STARTS_PATH => match body(request, STARTS_BYTES_MAX).await {
+        STARTS_PATH => match read_body(request, STARTS_BYTES_MAX).await {
             Ok(body) => carry_out(node, workers, &body).await,
-            Err(code) => bare(code),
+            Err(code) => status_only(code),
         },
-        RELAY_PATH => match store(node, request).await {
+        RELAY_PATH => match store_batch(node, request).await {
             Ok(stored) => Response::new(RelayBody::Stored(stored)),
-            Err(code) => bare(code),
+            Err(code) => status_only(code),
         },
-        CONFIRM_PATH => match body(request, QUERY_BYTES_MAX).await {
-            Ok(body) => {
-                confirm::answer(node, &body).map_or_else(|| bare(StatusCode::BAD_REQUEST), binary)
-            }
-            Err(code) => bare(code),
+        CONFIRM_PATH => match read_body(request, QUERY_BYTES_MAX).await {
+            Ok(body) => confirm::answer(node, &body)
+                .map_or_else(|| status_only(StatusCode::BAD_REQUEST), binary),
+            Err(code) => status_only(code),
         },
-        QUERY_PATH => match body(request, query::QUERY_BYTES_MAX).await {
+        QUERY_PATH => match read_body(request, query::QUERY_BYTES_MAX).await {
             Ok(body) => match query::answer(node, reader, &body).await {
-                Ok(told) => binary(postcard::to_stdvec(&told).unwrap_or_default()),
-                Err(code) => bare(code),
+                Ok(reply) => binary(postcard::to_stdvec(&reply).unwrap_or_default()),
+                Err(code) => status_only(code),
             },
-            Err(code) => bare(code),
+            Err(code) => status_only(code),
         },
         METRICS_PATH => {
             node.update_gauges();
-            whole("text/plain; version=1.0.0", node.metrics.text().into_bytes())
+            full_response("text/plain; version=1.0.0", node.metrics.text().into_bytes())
         }
         STATUS_PATH => json(&status::entry_status(node)),
-        path if path.starts_with(LOOK_PATH) => look(node, &path[LOOK_PATH.len()..]),
+        path if path.starts_with(LOOKUP_PATH) => answer_lookup(node, &path[LOOKUP_PATH.len()..]),
         path => path
             .strip_prefix(JOB_PATH)
             .and_then(JobId::parse)
             .and_then(|id| status::job_status(node, id))
-            .map_or_else(|| bare(StatusCode::NOT_FOUND), |job| json(&job)),
+            .map_or_else(|| status_only(StatusCode::NOT_FOUND), |job| json(&job)),
     }
 }
 
@@ -361,50 +366,50 @@
         Some(outcomes) => binary(outcomes),
         None => {
             warn!(node.logger, "a batch of starts can't be carried out");
-            bare(StatusCode::BAD_REQUEST)
+            status_only(StatusCode::BAD_REQUEST)
         }
     }
 }
 
 /// Looks a job up for another entry. Only a leader's book is known to have all that was accepted.
-fn look(node: &JobNode, id: &str) -> Response<RelayBody> {
-    let Some(id) = JobId::parse(id) else { return bare(StatusCode::BAD_REQUEST) };
-    let leads = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
-    if !leads || node.is_log_silent() {
-        return bare(StatusCode::MISDIRECTED_REQUEST);
+fn answer_lookup(node: &JobNode, id: &str) -> Response<RelayBody> {
+    let Some(id) = JobId::parse(id) else { return status_only(StatusCode::BAD_REQUEST) };
+    let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
+    if !is_leader || node.is_log_silent() {
+        return status_only(StatusCode::MISDIRECTED_REQUEST);
     }
     postcard::to_stdvec(&KnownJob::find(node, id))
-        .map_or_else(|_| bare(StatusCode::INTERNAL_SERVER_ERROR), binary)
+        .map_or_else(|_| status_only(StatusCode::INTERNAL_SERVER_ERROR), binary)
 }
 
 /// The body of a request, if it is not too large.
-async fn body(request: Request<Incoming>, bytes_max: usize) -> Result<Bytes, StatusCode> {
+async fn read_body(request: Request<Incoming>, bytes_max: usize) -> Result<Bytes, StatusCode> {
     let body = Limited::new(request.into_body(), bytes_max).collect().await;
     body.map(|body| body.to_bytes()).map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)
 }
 
 fn json<T: Serialize>(value: &T) -> Response<RelayBody> {
     // Our own types hold no map with keys that JSON can't write.
-    whole("application/json", serde_json::to_vec(value).unwrap_or_default())
+    full_response("application/json", serde_json::to_vec(value).unwrap_or_default())
 }
 
 fn binary(body: Vec<u8>) -> Response<RelayBody> {
-    whole("application/octet-stream", body)
+    full_response("application/octet-stream", body)
 }
 
-fn whole(kind: &'static str, body: Vec<u8>) -> Response<RelayBody> {
+fn full_response(kind: &'static str, body: Vec<u8>) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::Whole(Full::new(Bytes::from(body))));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     response
 }
 
 /// Takes a batch; the receiver hears when the log has it.
-async fn store(
+async fn store_batch(
     node: &JobNode,
     request: Request<Incoming>,
 ) -> Result<oneshot::Receiver<()>, StatusCode> {
-    let body = body(request, BATCH_BYTES_MAX).await?;
-    node.metrics.traffic.count(TAKEN_BATCHES, 0, Some(body.len()));
+    let body = read_body(request, BATCH_BYTES_MAX).await?;
+    node.metrics.traffic.count(RECEIVED_BATCHES, 0, Some(body.len()));
     let Some(records) = decode(&body) else {
         warn!(node.logger, "an entry's batch can't be read");
         return Err(StatusCode::BAD_REQUEST);
@@ -419,9 +424,9 @@
     keyed
         .map(|record| match JobRecord::decode(&record.key, &record.value)? {
             // Only what callers say is relayed; progress is the leader's own.
-            own @ (JobRecord::Submitted(..)
+            relayed @ (JobRecord::Submitted(..)
             | JobRecord::Cancelled(_)
-            | JobRecord::CancelledBy(..)) => Some(own),
+            | JobRecord::CancelledBy(..)) => Some(relayed),
             JobRecord::Progress(..)
             | JobRecord::Dropped(_)
             | JobRecord::TombstoneDropped(..)
@@ -431,7 +436,7 @@
         .collect()
 }
 
-fn bare(status: StatusCode) -> Response<RelayBody> {
+fn status_only(status: StatusCode) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::Whole(Full::default()));
     *response.status_mut() = status;
     response
