--- a/src/jobs/relay.rs
+++ b/src/jobs/relay.rs
@@ -1,8 +1,9 @@
-//! Entries hand their callers' records to the leader, which puts them on the log with its own.
+//! Relay of records, and the HTTP service for other entries.
 //!
-//! Plain HTTP/1.1 between entries, with the log's own record codec as body: the platform hands out
-//! no keys, and a connection is a few kilobytes where QUIC's state is tens. The same address serves
-//! the metrics.
+//! An entry sends the records of its callers to the leader, which appends them to the log together
+//! with its own. Entries talk plain HTTP/1.1, with the log's own record codec as body: the platform
+//! provides no keys, and a connection takes a few kilobytes where the state of QUIC takes tens. The
+//! same address serves the metrics.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -39,60 +40,63 @@
 use crate::jobs::status;
 use crate::transport::{ExchangeFailure, HttpCall, HttpTransport};
 
-/// Path of a batch of records.
+/// Path to which an entry posts a batch of records.
 const RELAY_PATH: &str = "/relay";
-/// What batches that are taken from other entries are counted as.
+/// Path under which the traffic metrics count the batches received from other entries.
 const RECEIVED_BATCHES: &str = "/relay-taken";
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Path of the status of an entry, for operators.
+/// Path of the status of an entry, which operators read.
 pub const STATUS_PATH: &str = "/status";
-/// Start of the path of a job's status; its id follows.
+/// Prefix of the path of a job's status; the job's id follows.
 pub const JOB_PATH: &str = "/job/";
-/// Start of the path by which an entry looks a job up in the leader's book; its id follows.
+/// Prefix of the path by which an entry looks a job up in the leader's job table; the job's id
+/// follows.
 const LOOKUP_PATH: &str = "/look/";
-/// Time for that.
+/// Timeout of a lookup.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(600);
-/// Largest batch, in bytes: what an entry puts into one, and its last record.
+/// Maximum size of a batch, in bytes: the limit up to which an entry fills it, and the last record.
 const BATCH_BYTES_MAX: usize = 1 << 20;
-/// Time for the leader to answer that it has a batch: it does so at once, or is not reached.
+/// Timeout for the head of the leader's answer, which acknowledges receipt of a batch: the leader
+/// sends it at once, or cannot be reached.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time for the leader to store a batch that it has. Where that takes long it is the log that is slow,
-/// and an append of this entry's own would stand in line behind all others'. With one of every entry in
-/// it the line grows longer than callers wait, so that nothing is accepted until the log is fast again.
+/// Timeout for the leader to store a batch that it has received. If storing takes long, the log is
+/// slow, and an append by this entry itself would queue behind all others. With an append of every
+/// entry in it, the queue takes longer than callers wait, so that nothing is accepted until the log
+/// is fast again.
 const STORE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time between two looks at who leads.
+/// Interval of the checks which entry leads.
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time for which a leader that did not answer is passed over, in milliseconds: about the time until
-/// its successor is known.
+/// Time for which a leader that did not store a batch is sent no other, in milliseconds: about the
+/// time until its successor is known.
 const LEADER_EXCLUSION_MS: u64 = 1_000;
-/// Time for a request's head.
+/// Timeout for reading the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a failed accept, as when descriptors have run out.
+/// Pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What became of a batch.
+/// Outcome of relaying a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayOutcome {
-    /// It is on the log.
+    /// The log has stored the batch.
     Stored,
-    /// There is no leader to be reached, or it does not lead any more; it has not seen the batch.
+    /// No leader was reached, or the entry reached does not lead any more. The batch is not stored.
     NotSent,
-    /// It may be on the log, or may be yet.
+    /// The batch may be stored, now or later.
     Unknown,
 }
 
-/// What a caller may be told of a job, and whose it is.
+/// State of a job that may be shown to a caller, and the organisation that owns the job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownJob {
-    /// Its state.
+    /// State of the job.
     pub state: JobState,
-    /// Organisation that it belongs to.
+    /// Organisation to which the job belongs, if any.
     pub organisation: Option<Arc<str>>,
 }
 
 impl KnownJob {
-    /// A job by this entry's own book.
+    /// Looks a job up in this entry's own job table.
     pub fn find(node: &JobNode, id: JobId) -> Option<KnownJob> {
         let table = node.job_table();
         let job = table.get(id)?;
@@ -107,7 +111,7 @@
     records: Vec<(String, Vec<u8>)>,
 }
 
-/// Hands batches to the leader.
+/// Sends batches of records and lookups of jobs to the leader.
 #[derive(Clone)]
 pub struct RelayClient {
     transport: HttpTransport,
@@ -115,15 +119,15 @@
 }
 
 impl RelayClient {
-    /// A client over this transport.
+    /// Creates a client that uses this transport, with no leader excluded.
     pub fn new(transport: HttpTransport) -> RelayClient {
         RelayClient { transport, leader_excluded_until_ms: Arc::new(AtomicU64::new(0)) }
     }
 
-    /// Has the leader store records, which may be this entry.
+    /// Has the leader, which may be this entry, store records.
     pub async fn store(&self, node: &JobNode, records: Vec<JobRecord>) -> RelayOutcome {
         if let Some(stored) = node.relay(records.clone()) {
-            // Another append of this entry would only stand in line behind the leader's.
+            // Another append by this entry would only queue behind the leader's.
             return match timeout(STORE_TIMEOUT, stored).await {
                 Ok(Ok(())) => RelayOutcome::Stored,
                 Ok(Err(_)) | Err(_) => RelayOutcome::Unknown,
@@ -135,7 +139,7 @@
         }
         let outcome = self.send(node, leader, &records).await;
         if outcome != RelayOutcome::Stored {
-            info!(node.logger, "the leader has not stored a batch"; "leader" => %leader,
+            info!(node.logger, "leader did not store a batch of records"; "leader" => %leader,
                 "records" => records.len(), "outcome" => ?outcome);
             self.leader_excluded_until_ms
                 .store(node.now() + LEADER_EXCLUSION_MS, Ordering::Relaxed);
@@ -143,7 +147,8 @@
         outcome
     }
 
-    /// Waits until there is a leader that may be tried, for `wait` at most; returns whether there is.
+    /// Waits for `wait` at most until a leader is known that is not excluded, or this entry leads.
+    /// Returns whether that is so.
     pub async fn wait_for_leader(&self, node: &JobNode, wait: Duration) -> bool {
         let may_try = || {
             let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()) == Some(true);
@@ -158,7 +163,8 @@
         timeout(wait, leader_found).await.is_ok()
     }
 
-    /// Looks a job up in the leader's book; nothing if the leader can't tell.
+    /// Looks a job up in the leader's job table. Returns `None` if the leader cannot be reached or
+    /// cannot tell, and `Some(None)` if it does not have the job.
     pub async fn look(&self, node: &JobNode, id: JobId) -> Option<Option<KnownJob>> {
         let call = HttpCall {
             method: Method::GET,
@@ -214,21 +220,21 @@
     }
 }
 
-/// Ends when `leader` does not lead any more: one that has lost power says nothing, and what waits for
-/// it could be stored by its successor.
+/// Completes when `leader` is no longer the leader. A leader that has lost power does not answer,
+/// and its successor could store the records that wait for it.
 async fn leader_replaced(node: &JobNode, leader: SocketAddr) {
     while node.leader() == Some(leader) {
         sleep(LEADER_POLL_INTERVAL).await;
     }
 }
 
-/// What other entries are served with.
+/// State that the service for other entries needs.
 pub struct PeerService<L, W> {
-    /// Shared state.
+    /// Shared state of this entry.
     pub node: Arc<JobNode>,
-    /// Reaches the workers.
+    /// Client for calls to workers.
     pub workers: W,
-    /// Brings the copy of the job log up to date.
+    /// Brings the replica of the job log up to date.
     pub reader: Arc<CatchUpReader<L>>,
 }
 
@@ -239,7 +245,7 @@
     }
 }
 
-/// Serves other entries and whoever collects metrics.
+/// Accepts and serves connections of other entries, of collectors of metrics and of operators.
 pub async fn accept<L: JobLog, W: WorkerClient>(listener: TcpListener, service: PeerService<L, W>) {
     loop {
         match listener.accept().await {
@@ -247,7 +253,7 @@
                 tokio::spawn(serve(stream, service.clone()));
             }
             Err(error) => {
-                warn!(service.node.logger, "an entry's connection can't be accepted"; "error" => %error);
+                warn!(service.node.logger, "failed to accept a peer connection"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -255,7 +261,7 @@
 }
 
 async fn serve<L: JobLog, W: WorkerClient>(stream: TcpStream, service: PeerService<L, W>) {
-    // Answers are small; a socket that refuses the option still works.
+    // Answers are small, so delay is avoided; a socket that refuses the option still works.
     let _ = stream.set_nodelay(true);
     let peer = service;
     let service = service_fn(move |request| {
@@ -266,17 +272,17 @@
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // The other side repeats what it has no answer to.
+    // A failed connection needs no handling: the peer repeats each request without an answer.
     drop(connection.await);
 }
 
-/// An answer's body: whole, or ended once the log has what was relayed.
+/// Body of an answer: complete, or empty and ending once the log has stored the relayed records.
 enum RelayBody {
     Whole(Full<Bytes>),
     Stored(oneshot::Receiver<()>),
 }
 
-/// The leadership has ended: the append may have been made.
+/// The leadership has ended; the records may be stored or not.
 #[derive(Debug)]
 struct LeadershipEnded;
 
@@ -303,7 +309,7 @@
             RelayBody::Stored(stored) => match Pin::new(stored).poll(context) {
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(Ok(())) => Poll::Ready(None),
-                // Broken off, so that the other side does not take the batch for stored.
+                // Fails the body, so that the peer does not regard the batch as stored.
                 Poll::Ready(Err(_)) => Poll::Ready(Some(Err(LeadershipEnded))),
             },
         }
@@ -355,7 +361,7 @@
     }
 }
 
-/// Carries out a batch of the leader's starts.
+/// Carries out a batch of starts from the leader.
 async fn carry_out<W: WorkerClient>(
     node: &JobNode,
     workers: &W,
@@ -365,13 +371,14 @@
     match outcomes.and_then(|outcomes| postcard::to_stdvec(&outcomes).ok()) {
         Some(outcomes) => binary(outcomes),
         None => {
-            warn!(node.logger, "a batch of starts can't be carried out");
+            warn!(node.logger, "failed to carry out a batch of starts");
             status_only(StatusCode::BAD_REQUEST)
         }
     }
 }
 
-/// Looks a job up for another entry. Only a leader's book is known to have all that was accepted.
+/// Answers another entry's lookup of a job. Only the job table of a leader is known to have every
+/// accepted job.
 fn answer_lookup(node: &JobNode, id: &str) -> Response<RelayBody> {
     let Some(id) = JobId::parse(id) else { return status_only(StatusCode::BAD_REQUEST) };
     let is_leader = node.with_scheduler(|scheduler| !scheduler.is_deposed()).unwrap_or(false);
@@ -382,14 +389,14 @@
         .map_or_else(|_| status_only(StatusCode::INTERNAL_SERVER_ERROR), binary)
 }
 
-/// The body of a request, if it is not too large.
+/// Reads the body of a request; fails if it exceeds `bytes_max`.
 async fn read_body(request: Request<Incoming>, bytes_max: usize) -> Result<Bytes, StatusCode> {
     let body = Limited::new(request.into_body(), bytes_max).collect().await;
     body.map(|body| body.to_bytes()).map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)
 }
 
 fn json<T: Serialize>(value: &T) -> Response<RelayBody> {
-    // Our own types hold no map with keys that JSON can't write.
+    // Cannot fail: the types passed here hold no map with keys that JSON cannot represent.
     full_response("application/json", serde_json::to_vec(value).unwrap_or_default())
 }
 
@@ -403,7 +410,7 @@
     response
 }
 
-/// Takes a batch; the receiver hears when the log has it.
+/// Passes a received batch to the scheduler. The receiver completes once the log has stored it.
 async fn store_batch(
     node: &JobNode,
     request: Request<Incoming>,
@@ -411,19 +418,19 @@
     let body = read_body(request, BATCH_BYTES_MAX).await?;
     node.metrics.traffic.count(RECEIVED_BATCHES, 0, Some(body.len()));
     let Some(records) = decode(&body) else {
-        warn!(node.logger, "an entry's batch can't be read");
+        warn!(node.logger, "malformed batch of records from an entry");
         return Err(StatusCode::BAD_REQUEST);
     };
     node.relay(records).ok_or(StatusCode::MISDIRECTED_REQUEST)
 }
 
-/// Reads a batch; nothing if it is malformed.
+/// Decodes a batch. Returns `None` if it is malformed or has a record that entries do not relay.
 pub fn decode(body: &[u8]) -> Option<Vec<JobRecord>> {
     let batch: RelayBatch = postcard::from_bytes(body).ok()?;
     let keyed = batch.records.into_iter().map(|(key, value)| KeyedRecord { key, value });
     keyed
         .map(|record| match JobRecord::decode(&record.key, &record.value)? {
-            // Only what callers say is relayed; progress is the leader's own.
+            // Only records of callers are relayed; the leader writes all others itself.
             relayed @ (JobRecord::Submitted(..)
             | JobRecord::Cancelled(_)
             | JobRecord::CancelledBy(..)) => Some(relayed),
