--- a/src/jobs/relay.rs
+++ b/src/jobs/relay.rs
@@ -59,7 +59,7 @@
 const BATCH_BYTES_MAX: usize = 1 << 20;
 /// Timeout for the head of the leader's answer, which acknowledges receipt of a batch: the leader
 /// sends it at once, or cannot be reached.
-const ACCEPT_TIMEOUT: Duration = Duration::from_millis(900);
+const RECEIPT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout for the leader to store a batch that it has received. If storing takes long, the log is
 /// slow, and an append by this entry itself would queue behind all others. With an append of every
 /// entry in it, the queue takes longer than callers wait, so that nothing is accepted until the log
@@ -196,11 +196,11 @@
             headers: HeaderMap::new(),
             body: Bytes::from(body),
         };
-        let (accept_timeout, store_timeout) = (ACCEPT_TIMEOUT, STORE_TIMEOUT);
+        let (receipt_timeout, store_timeout) = (RECEIPT_TIMEOUT, STORE_TIMEOUT);
         let exchange = self.transport.exchange_sending(
             leader,
             call,
-            accept_timeout,
+            receipt_timeout,
             store_timeout,
             SendTimeout::default(),
         );
